--- a/src/main/kotlin/mintfield/app/JobAnswers.kt
+++ b/src/main/kotlin/mintfield/app/JobAnswers.kt
@@ -11,6 +11,7 @@
 import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
+import mintfield.io.worker.JobPhaseCodec
 
 /** Done and running tasks of a job, for display. */
 class Progress(
@@ -133,7 +134,7 @@
         val body =
             Json.obj {
                 writeStringField("id", id)
-                writeStringField("stage", stage.name.lowercase())
+                writeStringField("stage", JobPhaseCodec.write(stage))
                 writeNumberField("done", doneTasks)
                 writeNumberField("running", if (ended) 0 else progress(id)?.running ?: 0)
             }
--- a/src/main/kotlin/mintfield/app/StoreWrites.kt
+++ b/src/main/kotlin/mintfield/app/StoreWrites.kt
@@ -22,7 +22,7 @@
 
     fun keyWrites(w: Write): List<KeyWrite> =
         when (w) {
-            is Write.Round -> listOf(KeyWrite.Put(keys.round(w.key), Records.round(w.record)))
+            is Write.RecordRound -> listOf(KeyWrite.Put(keys.round(w.key), Records.round(w.record)))
             is Write.SweepRound -> listOf(KeyWrite.Delete(keys.round(w.key)))
             is Write.Finish ->
                 listOf(
--- a/src/main/kotlin/mintfield/app/pipelines/PipelineCommand.kt
+++ b/src/main/kotlin/mintfield/app/pipelines/PipelineCommand.kt
@@ -9,6 +9,7 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
+import mintfield.io.worker.JobPhaseCodec
 
 /** The command `pipeline`: shows how a job stands and, if it waits for others, how those do. It only reads. */
 class PipelineCommand(
@@ -76,9 +77,7 @@
 
     private fun describe(recorded: Recorded): String =
         when (recorded) {
-            is Recorded.Ended ->
-                recorded.state.stage.name
-                    .lowercase()
+            is Recorded.Ended -> JobPhaseCodec.write(recorded.state.stage)
             is Recorded.Unfinished -> {
                 val state = if (recorded.withdrawn) "withdrawn, its tasks are being stopped" else "unfinished"
                 if (recorded.predecessors.isEmpty()) state else "$state, submitted to start after ${recorded.predecessors.size} others:"
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -160,7 +160,7 @@
             CommitResult.Unknown -> {
                 ledger.putBack(commit.writes, nowMs)
                 // It may be there all the same; its key must go in the end, whether or not it is.
-                commit.writes.forEach { if (it is Write.Round) ledger.leftOver.add(it.key) }
+                commit.writes.forEach { if (it is Write.RecordRound) ledger.leftOver.add(it.key) }
                 raiseNow = true
             }
         }
@@ -184,7 +184,7 @@
         nowMs: Long,
     ) {
         when (write) {
-            is Write.Round -> ledger.written(write, revision, nowMs)
+            is Write.RecordRound -> ledger.written(write, revision, nowMs)
             is Write.SweepRound -> ledger.leftOver.remove(write.key)
             is Write.Finish -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
--- a/src/main/kotlin/mintfield/core/Effects.kt
+++ b/src/main/kotlin/mintfield/core/Effects.kt
@@ -11,7 +11,7 @@
     val guarded: Collection<Job> get() = emptyList()
 
     /** What one round decided and what was reported since the last one, of all [jobs] that it touches. */
-    data class Round(
+    data class RecordRound(
         val key: String,
         val record: RoundRecord,
         val jobs: List<Job>,
--- a/src/main/kotlin/mintfield/core/jobs/RoundLedger.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundLedger.kt
@@ -128,7 +128,7 @@
         val records = Rounds.take(order, maxBytes, most, mostJobs())
         for (record in records) {
             val jobs = record.parts.mapTo(LinkedHashSet()) { it.job }.map { cluster.jobs.getValue(it) }
-            writes.add(Write.Round("${cluster.firstTerm}-${++number}", record, jobs))
+            writes.add(Write.RecordRound("${cluster.firstTerm}-${++number}", record, jobs))
         }
         for (job in order) if (job.changed.isEmpty) job.staleSinceMs = 0
         return records.size
@@ -161,7 +161,7 @@
         nowMs: Long,
     ) {
         for (w in writes) {
-            if (w !is Write.Round) continue
+            if (w !is Write.RecordRound) continue
             for (part in w.record.parts) {
                 val job = cluster.jobs[part.job] ?: continue
                 Rounds.putBack(job, part)
@@ -171,7 +171,7 @@
     }
 
     fun written(
-        write: Write.Round,
+        write: Write.RecordRound,
         revision: Long,
         nowMs: Long,
     ) {
--- a/src/main/kotlin/mintfield/io/store/Records.kt
+++ b/src/main/kotlin/mintfield/io/store/Records.kt
@@ -19,6 +19,7 @@
 import mintfield.io.json.long
 import mintfield.io.json.string
 import mintfield.io.worker.JobCodec
+import mintfield.io.worker.JobPhaseCodec
 
 /**
  * How recorded outputs are written. Which steps have a part in a record is asked of the recording rule: an output that
@@ -42,7 +43,7 @@
     /** Stands for a name that was left out of a record. */
     private const val LEFT_OUT = "-"
 
-    private val FINAL_STAGES = listOf(Stage.DONE, Stage.WITHDRAWN).associateBy { it.name.lowercase() }
+    private val FINAL_STAGES = setOf(Stage.DONE, Stage.WITHDRAWN)
 
     fun live(job: AcceptedJob): ByteArray =
         Json.obj {
@@ -95,14 +96,14 @@
 
     fun final(state: FinalState): ByteArray =
         Json.obj {
-            writeStringField("stage", state.stage.name.lowercase())
+            writeStringField("stage", JobPhaseCodec.write(state.stage))
             writeNumberField("tasks", state.tasks)
             if (state.endedAtMs > 0) writeNumberField("at", state.endedAtMs)
         }
 
     /** Null if it cannot be read: what is not known to be withdrawn is not called so. */
     fun parseFinal(data: Map<String, Any?>): FinalState? {
-        val stage = FINAL_STAGES[data.string("stage")] ?: return null
+        val stage = JobPhaseCodec.parse(data.string("stage"))?.takeIf { it in FINAL_STAGES } ?: return null
         return FinalState(stage, data.long("tasks")?.toInt() ?: 0, data.long("at") ?: 0)
     }
 
