--- a/src/main/kotlin/mintfield/app/Member.kt
+++ b/src/main/kotlin/mintfield/app/Member.kt
@@ -135,7 +135,7 @@
         if (r is StoreResult.Ok && part != null) part.activation.checkGuard(r.value)
         val term =
             when {
-                r is StoreResult.Ok && r.value is TxnOutcome.Applied -> (r.value as TxnOutcome.Applied).revision
+                r is StoreResult.Ok && r.value is TxnOutcome.Applied -> r.value.revision
                 r is StoreResult.Unknown -> termOf(lease)
                 else -> null
             }
--- a/src/main/kotlin/mintfield/io/loop/EventLoop.kt
+++ b/src/main/kotlin/mintfield/io/loop/EventLoop.kt
@@ -5,6 +5,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Delay
 import kotlinx.coroutines.DisposableHandle
+import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import kotlinx.coroutines.Runnable
 import java.util.PriorityQueue
@@ -17,7 +18,7 @@
  * The one thread on which everything of this process runs: coroutines, timers and the completions of
  * NIO.2 channels (which take it as their executor).
  */
-@OptIn(InternalCoroutinesApi::class)
+@OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
     CoroutineDispatcher(),
     Delay {
