--- /dev/null
+++ b/src/test/kotlin/mintfield/golden/GoldenJobs.kt
@@ -0,0 +1,49 @@
+package mintfield.golden
+
+import mintfield.core.model.AcceptedJob
+import mintfield.core.model.JobSpec
+import mintfield.core.model.Priority
+import mintfield.core.model.Shape
+
+/** Jobs whose forms are pinned. */
+object GoldenJobs {
+    /** Everything that may be left out is there. */
+    val whole =
+        JobSpec(
+            id = "ab-000412",
+            jobClass = "grind",
+            team = "millers",
+            shape = Shape.GANG,
+            priority = Priority.PRODUCTION,
+            tasks = 400,
+            cpus = 2.5,
+            gpus = 1.0,
+            memoryGb = 12.25,
+            image = "flour-é:7",
+            imageGb = 0.125,
+            types = listOf("box", "barrel"),
+            zone = "north",
+            oneZone = true,
+            spread = true,
+            spot = false,
+            estimateS = 30.0,
+            checkpointS = 5.5,
+            saveS = 1.0,
+            deadlineS = 90.5,
+        )
+
+    /** Nothing that may be left out is there. */
+    val sparse = whole.copy(id = "c-7", shape = Shape.ARRAY, priority = Priority.IDLE, tasks = 1, types = null, zone = null, oneZone = false, deadlineS = null)
+
+    /** Its predecessors differ in prefix and number of digits, and one has a number that fits no Long. */
+    val dependent = whole.copy(id = "ab-000500", shape = Shape.SERVICE, predecessors = listOf("ab-000398", "ab-000405", "ab-1", "zz-000036", LONG))
+
+    fun accepted(
+        spec: JobSpec,
+        withdrawn: Boolean = false,
+        fits: List<String> = listOf("box", "barrel"),
+    ) = AcceptedJob(spec, MARK, 1_700_000_000_123, withdrawn, fits)
+
+    const val MARK = 77L
+    private const val LONG = "ab-1234567890123456789012"
+}
