--- /dev/null
+++ b/src/test/kotlin/mintfield/golden/RecordedCalls.kt
@@ -0,0 +1,78 @@
+package mintfield.golden
+
+import kotlinx.coroutines.launch
+import mintfield.io.http.HttpClient
+import mintfield.io.loop.EventLoop
+import mintfield.io.loop.Pacer
+import mintfield.io.loop.scope
+import java.net.InetSocketAddress
+import java.net.ServerSocket
+import java.net.Socket
+import java.nio.channels.AsynchronousChannelGroup
+import java.util.concurrent.CompletableFuture
+import java.util.concurrent.ConcurrentLinkedQueue
+import java.util.concurrent.TimeUnit
+import kotlin.concurrent.thread
+
+/** A service on loopback that answers the calls of a client one by one, as it was told, and keeps the bytes of the requests. */
+class RecordedCalls : AutoCloseable {
+    class Answer(
+        val status: Int,
+        val body: String = "{}",
+    )
+
+    private val socket = ServerSocket(0, 10, LOOPBACK.address)
+    private val requests = ConcurrentLinkedQueue<String>()
+    private val answers = ConcurrentLinkedQueue<Answer>()
+    private val loop = EventLoop().also { it.start() }
+    private val scope = loop.scope()
+    private val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
+    val client = HttpClient(loop, group, InetSocketAddress(LOOPBACK.address, socket.localPort), 0)
+    val pacer = Pacer(loop, 1_000.0, 1_000.0)
+
+    init {
+        thread(isDaemon = true) {
+            while (!socket.isClosed) runCatching { socket.accept().use(::answer) }
+        }
+    }
+
+    private fun answer(connection: Socket) {
+        val input = connection.getInputStream()
+        val request = StringBuilder()
+        while (!request.endsWith(HEAD_END)) request.append(input.read().also { check(it >= 0) }.toChar())
+        val length = Regex("Content-Length: (\\d+)").find(request)!!.groupValues[1].toInt()
+        requests.add(request.toString().replace(":${socket.localPort}\r\n", ":PORT\r\n") + String(input.readNBytes(length)))
+        val next = answers.remove()
+        val body = next.body.toByteArray()
+        val head = "HTTP/1.1 ${next.status} Said\r\nContent-Length: ${body.size}\r\nConnection: close$HEAD_END"
+        connection.getOutputStream().run {
+            write(head.toByteArray() + body)
+            flush()
+        }
+    }
+
+    /** What [call] returns if it is given [given]. */
+    fun <T> during(
+        vararg given: Answer,
+        call: suspend () -> T,
+    ): T {
+        answers.addAll(given)
+        val result = CompletableFuture<Result<T>>()
+        loop.post { scope.launch { result.complete(runCatching { call() }) } }
+        return result.get(LIMIT_S, TimeUnit.SECONDS).getOrThrow().also { check(answers.isEmpty()) { "${answers.size} answers were not asked for" } }
+    }
+
+    /** The requests since the last call of this, in order, each followed by an empty line. */
+    fun takeRequests(): ByteArray = generateSequence { requests.poll() }.joinToString("") { it + "\n\n" }.toByteArray()
+
+    override fun close() {
+        socket.close()
+        loop.stop()
+    }
+
+    private companion object {
+        val LOOPBACK = InetSocketAddress("127.0.0.1", 0)
+        const val HEAD_END = "\r\n\r\n"
+        const val LIMIT_S = 20L
+    }
+}
--- /dev/null
+++ b/src/test/resources/golden/settings/operator-plain.hcl
@@ -0,0 +1,3 @@
+log {
+  format = "plain"
+}
