--- a/src/test/kotlin/mintfield/golden/PeerMessagesGoldenTest.kt
+++ b/src/test/kotlin/mintfield/golden/PeerMessagesGoldenTest.kt
@@ -3,9 +3,12 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.protobuf.ProtoBuf
+import mintfield.Fixtures
+import mintfield.app.Outside
 import mintfield.core.model.EndCause
 import mintfield.core.model.ReportedState
 import mintfield.core.model.ReportedTask
+import mintfield.core.model.Sibling
 import mintfield.core.model.TaskId
 import mintfield.core.ownership.GuestAnswer
 import mintfield.core.ownership.GuestQuery
@@ -15,6 +18,7 @@
 import mintfield.core.upgrade.Generation
 import mintfield.io.ownership.GuestCodec
 import mintfield.io.peer.JobProgress
+import mintfield.io.peer.PeerLink
 import mintfield.io.peer.PeerNote
 import mintfield.io.peer.PeerNoteAnswer
 import mintfield.io.peer.RelayAnswer
@@ -24,6 +28,7 @@
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import java.lang.reflect.Proxy
 
 /** What controllers of earlier and later versions of this program hear from each other. */
 @OptIn(ExperimentalSerializationApi::class)
@@ -115,4 +120,27 @@
         assertEquals(answers, GuestCodec.parseAnswers(pinned("guest-answers", GuestCodec.answers(answers))))
         assertEquals(emptyList<GuestAnswer>(), GuestCodec.parseAnswers(pinned("guest-answers-none", GuestCodec.answers(emptyList()))))
     }
+
+    @Test
+    fun `notes, reports and questions are sent on the paths that they have always had`() {
+        RecordedCalls().use { sibling ->
+            val settings = Fixtures.settings.copy(siblings = listOf(Sibling("plot-1", "south", sibling.address)))
+            val peers = PeerLink(sibling.loop, sibling.scope, settings, Outside(settings, sibling.loop, sibling.group), idleOwner())
+            sibling.sending(RecordedCalls.Answer(200, "")) { peers.announce() }
+            assertEquals(null, sibling.during(RecordedCalls.Answer(421)) { peers.relay("plot-1", """{"a":1}""".toByteArray()) })
+            assertEquals("told", String(sibling.during(RecordedCalls.Answer(200, "told")) { peers.askGuests("plot-1", "asked".toByteArray()) }!!))
+            pinned("asked", sibling.takeRequests())
+        }
+    }
+
+    /** A node that leads nothing and knows nothing. */
+    private fun idleOwner(): PeerLink.Owner =
+        Proxy.newProxyInstance(javaClass.classLoader, arrayOf(PeerLink.Owner::class.java)) { _, method, _ ->
+            when (method.returnType) {
+                Map::class.java -> emptyMap<String, Any>()
+                Boolean::class.java -> false
+                Pair::class.java -> 0L to 0L
+                else -> null
+            }
+        } as PeerLink.Owner
 }
--- /dev/null
+++ b/src/test/kotlin/mintfield/golden/TracesGoldenTest.kt
@@ -0,0 +1,28 @@
+package mintfield.golden
+
+import mintfield.core.ownership.MoveStep
+import mintfield.io.tracing.OpenTelemetryMoveTracer
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.api.io.TempDir
+import java.io.File
+
+/** What programs that show traces read. */
+class TracesGoldenTest {
+    @TempDir
+    lateinit var folder: File
+
+    private fun tracer(file: File) = OpenTelemetryMoveTracer(file.path, "plot-0") { 1_700_000_000_123 }
+
+    @Test
+    fun `a move is traced with the names and attributes that it has always had`() {
+        val file = File(folder, "spans")
+        // One after the other, so that each span is a line of its own.
+        val trace = tracer(file).use { it.ordered("m-000001", "s0", "s1") }
+        for (step in MoveStep.entries) tracer(file).use { it.ended(step, "m-000001", "s1", trace, 40) }
+        assertTrue(Regex("00-[0-9a-f]{32}-[0-9a-f]{16}-03").matches(trace), trace)
+        // Ids are drawn at random.
+        val text = file.readText().replace(Regex("\"[0-9a-f]{32}\""), "\"TRACE\"").replace(Regex("\"[0-9a-f]{16}\""), "\"SPAN\"")
+        GoldenFile.check("traces/move.txt", text.toByteArray())
+    }
+}
--- a/src/test/kotlin/mintfield/golden/WorkerProtocolGoldenTest.kt
+++ b/src/test/kotlin/mintfield/golden/WorkerProtocolGoldenTest.kt
@@ -1,5 +1,10 @@
 package mintfield.golden
 
+import mintfield.Fixtures
+import mintfield.app.DirectCommandSender
+import mintfield.app.Outside
+import mintfield.core.CommitResult
+import mintfield.core.Scheduler
 import mintfield.core.model.EndCause
 import mintfield.core.model.Order
 import mintfield.core.model.Report
@@ -7,8 +12,10 @@
 import mintfield.core.model.ReportedTask
 import mintfield.core.model.TaskId
 import mintfield.io.worker.WorkerCodec
+import mintfield.standin.await
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
+import java.util.concurrent.atomic.AtomicBoolean
 
 /** What workers are told and what they report. */
 class WorkerProtocolGoldenTest {
@@ -23,6 +30,26 @@
         GoldenFile.check("worker/orders-none.json", WorkerCodec.orders(5, null, emptyList()))
     }
 
+    @Test
+    fun `orders are sent to a worker on its own path`() {
+        RecordedCalls().use { worker ->
+            val outside = Outside(Fixtures.settings, worker.loop, worker.group)
+            val scheduler = Scheduler(Fixtures.settings, 9) {}
+            val answered = AtomicBoolean()
+            worker.sending(RecordedCalls.Answer(200, GoldenFile.text("worker/report.json"))) {
+                val now = worker.loop.nowMs()
+                scheduler.types(listOf(Fixtures.box), now)
+                scheduler.replayDone(now)
+                scheduler.report(Fixtures.report("m-000001", 1, 9).copy(address = worker.address), true, now)
+                scheduler.jobChanged(Fixtures.accepted(Fixtures.spec("wk-000001"), 1), now)
+                scheduler.committed(scheduler.nextCommit(now, now, 16)!!, CommitResult.Done(9), now)
+                DirectCommandSender(worker.loop, worker.scope, outside, scheduler) { answered.set(true) }.send()
+            }
+            GoldenFile.check("worker/asked-commands.txt", worker.takeRequests())
+            await("the answer is taken in") { answered.get() }
+        }
+    }
+
     @Test
     fun `a report is read whole, with the least that it may have, and with fields of later versions`() {
         val task = ReportedTask(TaskId("ab-000412", 17), 262_144_000_000_001, ReportedState.RUNNING, null)
