--- a/src/main/kotlin/mintfield/app/Outside.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -1,6 +1,6 @@
 package mintfield.app
 
-import mintfield.core.SocketBounds
+import mintfield.core.ConnectionLimits
 import mintfield.core.Tuning
 import mintfield.core.model.MachineType
 import mintfield.core.model.Settings
@@ -10,35 +10,35 @@
 import mintfield.io.http.HttpClient
 import mintfield.io.http.parseAddress
 import mintfield.io.loop.EventLoop
-import mintfield.io.loop.Pacer
+import mintfield.io.loop.RateLimiter
 import mintfield.io.store.StoreClient
 import java.nio.channels.AsynchronousChannelGroup
 
 /** The systems outside, as this node reaches them. */
-class Outside(
+class ExternalServices(
     val settings: Settings,
     private val loop: EventLoop,
     private val group: AsynchronousChannelGroup,
 ) {
     /** Controllers that may call the cloud at the same time: all, where each leads a share. */
-    private val callers = if (settings.operator.sharing == null) 1 else settings.siblings.size + 1
+    private val callers = if (settings.operator.sharding == null) 1 else settings.peers.size + 1
     val store =
         StoreClient(
             client(settings.stateAddress, STORE_CONNECTIONS),
             client(settings.stateAddress, 2),
-            Pacer(loop, settings.stateRps * STORE_SHARE, settings.stateRps * STORE_SHARE),
+            RateLimiter(loop, settings.stateRps * STORE_SHARE, settings.stateRps * STORE_SHARE),
         )
     val cloud =
         CloudClient(
             client(settings.cloudAddress, 1),
-            Pacer(loop, settings.cloudRps * Tuning.CLOUD_SHARE / callers, settings.cloudRps / callers),
+            RateLimiter(loop, settings.cloudRps * Tuning.CLOUD_SHARE / callers, settings.cloudRps / callers),
         )
     val metrics = Metrics()
 
-    /** What the state service permits now, as far as this node knows. */
+    /** What the store permits now, as far as this node knows. */
     val stateLimits = StateLimitsInForce(settings)
     val types = LinkedHashMap<String, MachineType>()
-    private val maxWorkers = SocketBounds(settings).keptToWorkers
+    private val maxWorkers = ConnectionLimits(settings).keptToWorkers
     private val workers = LinkedHashMap<String, HttpClient>(16, 0.75f, true)
 
     suspend fun readTypes() {
--- a/src/main/kotlin/mintfield/app/Main.kt
+++ b/src/main/kotlin/mintfield/app/Main.kt
@@ -1,7 +1,7 @@
 package mintfield.app
 
-import mintfield.app.pipelines.PipelineCommand
-import mintfield.app.sharing.MachinesCommand
+import mintfield.app.cli.MachinesCommand
+import mintfield.app.cli.PipelineCommand
 import mintfield.app.warmup.WarmUp
 import mintfield.core.model.LogFormat
 import mintfield.core.model.Settings
@@ -95,7 +95,7 @@
 ) {
     val settings = settings(config, operatorFile)
     Log.json = settings.operator.logFormat == LogFormat.JSON
-    Node(settings).run()
+    Controller(settings).run()
 }
 
 private fun pipeline(
@@ -124,6 +124,6 @@
     val settings = SettingsFile.read(config ?: refuse("expected --config FILE; see --help"))
     // Its classes load only when it is named: every class costs time at the start.
     val operator = operatorFile?.let { OperatorFile.read(it) } ?: return settings
-    operator.sharing?.problem(settings)?.let { throw SettingsFault("$operatorFile: $it") }
+    operator.sharding?.problem(settings)?.let { throw SettingsFault("$operatorFile: $it") }
     return settings.copy(operator = operator)
 }
--- a/src/main/kotlin/mintfield/app/JobAnswers.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -1,8 +1,9 @@
-package mintfield.app
+package mintfield.app.api
 
+import mintfield.app.replica.JobReplicator
 import mintfield.core.Tuning
 import mintfield.core.jobs.KnownJob
-import mintfield.core.model.Stage
+import mintfield.core.model.JobPhase
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.loop.Log
@@ -36,17 +37,17 @@
  * What users are told of the state of a job. Answers are linearizable: each tells the state at a moment after its request came,
  * whichever nodes have told what before, and a final state is never left.
  */
-class JobAnswers(
+class JobStatusService(
     private val store: StoreClient,
-    private val view: JobView,
+    private val replicator: JobReplicator,
     private val progress: (String) -> Progress?,
     /** Told of a job before a user is told that it is cancelled. */
-    private val tellingCancelled: (String) -> Unit,
+    private val onCancellationConfirmed: (String) -> Unit,
     /** Whether the store has not been reached for a while, so that asking it would only make the user wait. */
     private val cutOff: () -> Boolean,
 ) {
     /** The state of a job that the store knows, or else what [otherwise] says. */
-    suspend inline fun orKnown(
+    suspend inline fun existingOr(
         id: String,
         otherwise: () -> Response,
     ): Response =
@@ -59,36 +60,36 @@
     /** Looks a job up, as it is in the store now or later. */
     suspend fun lookUp(id: String): Lookup {
         // A final state stays, so what is cached of it is as good as the store's.
-        (view.known(id) as? KnownJob.Ended)?.let { return Lookup.Found(it) }
-        if (cutOff() || !view.current()) return Lookup.Unavailable
-        if (!view.resolveBefore(id)) return Lookup.Unavailable
-        val known = view.known(id)
+        (replicator.known(id) as? KnownJob.Ended)?.let { return Lookup.Found(it) }
+        if (cutOff() || !replicator.current()) return Lookup.Unavailable
+        if (!replicator.resolveBefore(id)) return Lookup.Unavailable
+        val known = replicator.known(id)
         if (known is KnownJob.Ended || known is KnownJob.Live) return Lookup.Found(known)
         // Of a job without a readable record only its final state, which may be long past, can tell more.
         return when (val r = store.get(Keys.final(id))) {
-            is StoreResult.Ok -> (r.value?.let { final(id, it) } ?: view.known(id))?.let { Lookup.Found(it) } ?: Lookup.NotFound
+            is StoreResult.Ok -> (r.value?.let { final(id, it) } ?: replicator.known(id))?.let { Lookup.Found(it) } ?: Lookup.NotFound
             else -> Lookup.Unavailable
         }
     }
 
-    /** What the final state's [entry] tells. One that cannot be read is neither done nor withdrawn, but its job was accepted. */
+    /** What the final state's [entry] tells. One that cannot be read is neither done nor cancelled, but its job was accepted. */
     private fun final(
         id: String,
         entry: Entry,
     ): KnownJob {
         val state = Records.parseFinal(entry.data)
         if (state == null) {
-            Log.error("$id: its final state of revision ${entry.mark} cannot be read; it is kept and the job called pending")
+            Log.error("$id: its final state of revision ${entry.revision} cannot be read; it is kept and the job called pending")
             return KnownJob.Unreadable
         }
-        view.ended(id, state)
+        replicator.ended(id, state)
         return KnownJob.Ended(state)
     }
 
     /** A submission was accepted, and may have been cancelled or ended before that was known here. */
     fun accepted(id: String): Response {
-        val known = view.known(id)
-        val ended = known is KnownJob.Ended || known is KnownJob.Live && isWithdrawn(known)
+        val known = replicator.known(id)
+        val ended = known is KnownJob.Ended || known is KnownJob.Live && isCancelled(known)
         return if (ended) answer(id, known) else unfinished(id, status = 201)
     }
 
@@ -100,23 +101,23 @@
         id: String,
         known: KnownJob,
     ): Response =
-        when (val newest = view.known(id) as? KnownJob.Ended ?: known) {
+        when (val newest = replicator.known(id) as? KnownJob.Ended ?: known) {
             is KnownJob.Ended -> state(id, newest.state.stage, newest.state.tasks, status = 200)
-            is KnownJob.Live -> if (isWithdrawn(newest)) state(id, Stage.WITHDRAWN, doneTasks(id), status = 200) else unfinished(id, status = 200)
+            is KnownJob.Live -> if (isCancelled(newest)) state(id, JobPhase.CANCELLED, doneTasks(id), status = 200) else unfinished(id, status = 200)
             KnownJob.Unreadable -> unfinished(id, status = 200)
         }
 
-    /** Whether a job is withdrawn, by its own user or with a job that it depends on, whether or not that is in its record yet. */
-    fun isWithdrawn(known: KnownJob.Live) = known.job.withdrawn || view.dependencies.isDoomed(known.job.spec.id)
+    /** Whether a job is cancelled, by its own user or with a job that it depends on, whether or not that is in its record yet. */
+    fun isCancelled(known: KnownJob.Live) = known.job.cancelled || replicator.dependencies.isCancelledByDependency(known.job.spec.id)
 
-    /** A submission was accepted, and the job withdrawn with one that it depends on. */
-    fun acceptedWithdrawn(id: String): Response = state(id, Stage.WITHDRAWN, doneTasks = 0, status = 201)
+    /** A submission was accepted, and the job cancelled with one that it depends on. */
+    fun acceptedAsCancelled(id: String): Response = state(id, JobPhase.CANCELLED, doneTasks = 0, status = 201)
 
     private fun unfinished(
         id: String,
         status: Int,
     ): Response {
-        val stage = if ((progress(id)?.running ?: 0) > 0) Stage.RUNNING else Stage.PENDING
+        val stage = if ((progress(id)?.running ?: 0) > 0) JobPhase.RUNNING else JobPhase.PENDING
         return state(id, stage, doneTasks(id), status)
     }
 
@@ -125,12 +126,12 @@
 
     private fun state(
         id: String,
-        stage: Stage,
+        stage: JobPhase,
         doneTasks: Int,
         status: Int,
     ): Response {
-        val ended = stage == Stage.DONE || stage == Stage.WITHDRAWN
-        if (stage == Stage.WITHDRAWN) tellingCancelled(id)
+        val ended = stage == JobPhase.DONE || stage == JobPhase.CANCELLED
+        if (stage == JobPhase.CANCELLED) onCancellationConfirmed(id)
         val body =
             Json.obj {
                 writeStringField("id", id)
--- a/src/main/kotlin/mintfield/app/UserApi.kt
+++ b/src/main/kotlin/mintfield/app/api/UserApi.kt
@@ -1,24 +1,25 @@
-package mintfield.app
+package mintfield.app.api
 
+import mintfield.app.replica.JobReplicator
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
-import mintfield.core.model.Stage
+import mintfield.core.model.JobPhase
 import mintfield.core.model.StateLimitsInForce
 import mintfield.io.http.HttpMessage
 import mintfield.io.http.Response
-import mintfield.io.store.Guard
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
+import mintfield.io.store.Precondition
 import mintfield.io.store.Records
 import mintfield.io.worker.JobCodec
 
 /** What users ask, answered by any node from the store's truth. */
 class UserApi(
-    private val answers: JobAnswers,
-    private val submissions: JobSubmissions,
-    private val view: JobView,
-    private val changes: ChangeWriter,
+    private val answers: JobStatusService,
+    private val submissions: JobSubmissionService,
+    private val replicator: JobReplicator,
+    private val changes: UserWriteBatcher,
     private val limits: StateLimitsInForce,
 ) {
     /** Accepts a job, or tells the state of one that was accepted before. */
@@ -27,7 +28,7 @@
     /** The state of the job [id]. */
     suspend fun poll(id: String): Response {
         val notFound = Response.error(404, "no such job")
-        return if (JobCodec.isId(id)) answers.orKnown(id) { notFound } else notFound
+        return if (JobCodec.isId(id)) answers.existingOr(id) { notFound } else notFound
     }
 
     /** Cancels the job [id], unless it has ended. */
@@ -45,7 +46,7 @@
                 is KnownJob.Ended -> return answers.answer(id, found)
                 KnownJob.Unreadable -> return answers.busy("what is recorded of it cannot be read")
                 is KnownJob.Live -> {
-                    if (answers.isWithdrawn(found)) return answers.answer(id, found)
+                    if (answers.isCancelled(found)) return answers.answer(id, found)
                     cancel(found.job)?.let { return it }
                 }
             }
@@ -53,24 +54,24 @@
         return answers.busy("try again")
     }
 
-    /** Writes that [job] is withdrawn; null if it is not known whether it is, or it had changed meanwhile. */
+    /** Writes that [job] is cancelled; null if it is not known whether it is, or it had changed meanwhile. */
     private suspend fun cancel(job: AcceptedJob): Response? {
         val id = job.spec.id
-        val withdrawn = FinalState(Stage.WITHDRAWN, answers.doneTasks(id), System.currentTimeMillis())
-        val guards = listOf(Guard(Keys.live(id), job.mark), Guard(Keys.final(id), 0))
+        val cancelled = FinalState(JobPhase.CANCELLED, answers.doneTasks(id), System.currentTimeMillis())
+        val preconditions = listOf(Precondition(Keys.live(id), job.revision), Precondition(Keys.final(id), 0))
         val writes =
             listOf(
-                KeyWrite.Put(Keys.final(id), Records.final(withdrawn)),
-                KeyWrite.Put(Keys.live(id), Records.withdrawn(job, limits.lowest.valueBytes)),
+                KeyWrite.Put(Keys.final(id), Records.final(cancelled)),
+                KeyWrite.Put(Keys.live(id), Records.cancelled(job, limits.lowest.valueBytes)),
             )
-        return when (changes.write(guards, writes)) {
-            ChangeResult.APPLIED -> {
-                view.ended(id, withdrawn)
-                answers.answer(id, KnownJob.Ended(withdrawn))
+        return when (changes.write(preconditions, writes)) {
+            WriteResult.APPLIED -> {
+                replicator.ended(id, cancelled)
+                answers.answer(id, KnownJob.Ended(cancelled))
             }
 
-            ChangeResult.REFUSED -> answers.busy("the state service does not take it now")
-            ChangeResult.CONFLICT, ChangeResult.UNKNOWN -> null
+            WriteResult.REFUSED -> answers.busy("the state service does not take it now")
+            WriteResult.CONFLICT, WriteResult.UNKNOWN -> null
         }
     }
 
--- a/src/main/kotlin/mintfield/app/ChangeWriter.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -1,4 +1,4 @@
-package mintfield.app
+package mintfield.app.api
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
@@ -9,14 +9,14 @@
 import mintfield.core.model.StateLimitsInForce
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
-import mintfield.io.loop.Pacer
-import mintfield.io.store.Guard
+import mintfield.io.loop.RateLimiter
 import mintfield.io.store.KeyWrite
+import mintfield.io.store.Precondition
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-enum class ChangeResult {
+enum class WriteResult {
     APPLIED,
 
     /** A guarded key had changed: nothing was written. */
@@ -30,42 +30,42 @@
 }
 
 /** Writes the changes that users ask for; those that wait at the same moment share a transaction. */
-class ChangeWriter(
+class UserWriteBatcher(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val store: StoreClient,
     private val limits: StateLimitsInForce,
 ) {
     private class Change(
-        val guards: List<Guard>,
+        val preconditions: List<Precondition>,
         val writes: List<KeyWrite>,
         val sinceMs: Long,
     ) {
-        val result = CompletableDeferred<ChangeResult>()
-        val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD * (guards.size + writes.size)
+        val result = CompletableDeferred<WriteResult>()
+        val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD * (preconditions.size + writes.size)
     }
 
     private val queue = ArrayDeque<Change>()
     private var lanes = 0
     private var mostOps = limits.current.txnOps
     private var pacedFor = limits.current
-    private val pacer = Pacer(loop, pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
+    private val rateLimiter = RateLimiter(loop, pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
 
     /** Told when the store refuses changes as too many, so that the leader can leave room for them. */
-    var onCrowded: () -> Unit = {}
+    var onCongestion: () -> Unit = {}
 
     /** Whether changes wait for their turn at the store. */
-    val crowded: Boolean get() = queue.isNotEmpty() || mostOps < limits.current.txnOps
+    val congested: Boolean get() = queue.isNotEmpty() || mostOps < limits.current.txnOps
 
     /** False when so much waits already that a further change would only grow old. */
     val open: Boolean get() = queue.size < Tuning.MAX_WAITING_CHANGES
 
     suspend fun write(
-        guards: List<Guard>,
+        preconditions: List<Precondition>,
         writes: List<KeyWrite>,
-    ): ChangeResult {
-        if (!open) return ChangeResult.REFUSED
-        val change = Change(guards, writes, loop.nowMs())
+    ): WriteResult {
+        if (!open) return WriteResult.REFUSED
+        val change = Change(preconditions, writes, loop.nowMs())
         queue.addLast(change)
         if (lanes < Tuning.CHANGE_LANES) {
             lanes++
@@ -84,13 +84,13 @@
         while (queue.isNotEmpty()) {
             val batch = take()
             keepToLimits()
-            pacer.acquire(batch.sumOf { it.writes.size }.toDouble())
+            rateLimiter.acquire(batch.sumOf { it.writes.size }.toDouble())
             try {
                 carryOut(batch)
             } catch (e: IllegalStateException) {
                 // Nobody may wait for an answer that does not come. A malformed transaction was not executed.
                 Log.error("changes of users failed: ${e.message}")
-                finish(batch, ChangeResult.REFUSED)
+                finish(batch, WriteResult.REFUSED)
             }
         }
     }
@@ -100,7 +100,7 @@
         if (pacedFor == limits.current) return
         pacedFor = limits.current
         mostOps = minOf(mostOps, pacedFor.txnOps)
-        pacer.limit(pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
+        rateLimiter.limit(pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
     }
 
     private fun take(): List<Change> {
@@ -126,20 +126,20 @@
         var batch = all
         while (batch.isNotEmpty()) {
             val usedFor = limits.current
-            when (val r = store.txn(batch.flatMap { it.guards }, batch.flatMap { it.writes })) {
+            when (val r = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
                 is StoreResult.Ok ->
                     when (val outcome = r.value) {
                         is TxnOutcome.Applied -> {
                             mostOps = minOf(limits.current.txnOps, mostOps * 2)
-                            return finish(batch, ChangeResult.APPLIED)
+                            return finish(batch, WriteResult.APPLIED)
                         }
 
                         is TxnOutcome.Failed -> {
                             val failed = outcome.keys.toSet()
-                            val (bad, good) = batch.partition { c -> c.guards.any { it.key in failed } }
+                            val (bad, good) = batch.partition { c -> c.preconditions.any { it.key in failed } }
                             // One change that meets a conflict must not fail its neighbours.
-                            finish(bad, ChangeResult.CONFLICT)
-                            if (bad.isEmpty()) return finish(batch, ChangeResult.REFUSED)
+                            finish(bad, WriteResult.CONFLICT)
+                            if (bad.isEmpty()) return finish(batch, WriteResult.REFUSED)
                             batch = good
                         }
 
@@ -147,22 +147,22 @@
                             batch = smaller(batch, usedFor, outcome)
                         }
 
-                        TxnOutcome.LeaseGone -> return finish(batch, ChangeResult.REFUSED)
+                        TxnOutcome.LeaseGone -> return finish(batch, WriteResult.REFUSED)
                     }
 
                 is StoreResult.Refused -> {
-                    if (r.status != TOO_MANY) return finish(batch, ChangeResult.REFUSED)
+                    if (r.status != TOO_MANY) return finish(batch, WriteResult.REFUSED)
                     val (old, young) = batch.partition { loop.nowMs() - it.sinceMs > Tuning.CHANGE_PATIENCE_MS }
-                    finish(old, ChangeResult.REFUSED)
-                    onCrowded()
+                    finish(old, WriteResult.REFUSED)
+                    onCongestion()
                     mostOps = maxOf(Tuning.CHANGE_LEAST_OPS, mostOps / 2)
                     batch = putBack(young)
                     if (batch.isNotEmpty()) delay(Tuning.STORE_RETRY_MS)
                 }
 
                 is StoreResult.Unknown -> {
-                    Log.info("no answer to ${batch.size} changes of users: ${r.why}")
-                    return finish(batch, ChangeResult.UNKNOWN)
+                    Log.info("no answer to ${batch.size} changes of users: ${r.reason}")
+                    return finish(batch, WriteResult.UNKNOWN)
                 }
             }
         }
@@ -180,7 +180,7 @@
             mostOps = batch.first().writes.size
         } else {
             Log.error("the state service calls a change of ${batch.first().writes.first().key} malformed: ${outcome.reason}")
-            finish(batch, ChangeResult.REFUSED)
+            finish(batch, WriteResult.REFUSED)
             return emptyList()
         }
         return putBack(batch)
@@ -196,7 +196,7 @@
 
     private fun finish(
         batch: List<Change>,
-        result: ChangeResult,
+        result: WriteResult,
     ) = batch.forEach { it.result.complete(result) }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/CommandLoop.kt
+++ b/src/main/kotlin/mintfield/app/cli/CommandLoop.kt
@@ -1,6 +1,7 @@
-package mintfield.app
+package mintfield.app.cli
 
 import kotlinx.coroutines.launch
+import mintfield.app.ExternalServices
 import mintfield.core.model.Settings
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.scope
@@ -12,20 +13,20 @@
     /** The exit code that [action] returns. */
     fun run(
         settings: Settings,
-        action: suspend (Outside) -> Int,
+        action: suspend (ExternalServices) -> Int,
     ): Int {
         val loop = EventLoop()
         loop.start()
         val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
         val code = CompletableFuture<Int>()
         loop.post {
-            val outside = Outside(settings, loop, group)
-            loop.scope().launch { code.complete(action(outside)) }
+            val services = ExternalServices(settings, loop, group)
+            loop.scope().launch { code.complete(action(services)) }
         }
         return try {
             code.get()
         } finally {
-            // The state service's connections are bounded; whoever asks often, such as a test, would use them up.
+            // The store's connections are bounded; whoever asks often, such as a test, would use them up.
             group.shutdownNow()
             loop.stop()
         }
--- a/src/main/kotlin/mintfield/app/sharing/MachineRanges.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachineRanges.kt
@@ -1,4 +1,4 @@
-package mintfield.app.sharing
+package mintfield.app.cli
 
 import org.roaringbitmap.RoaringBitmap
 
--- a/src/main/kotlin/mintfield/app/sharing/MachinesCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
@@ -1,6 +1,8 @@
-package mintfield.app.sharing
+package mintfield.app.cli
 
-import mintfield.app.CommandLoop
+import mintfield.app.sharding.MachineOrders
+import mintfield.app.sharding.MoveTracing
+import mintfield.app.sharding.OrderOutcome
 import mintfield.core.model.Settings
 import mintfield.core.ownership.Refusal
 
@@ -11,19 +13,19 @@
     private val json: Boolean = false,
     private val print: (String) -> Unit,
 ) {
-    private val controllers = (settings.siblings.map { it.member } + settings.member).sorted()
+    private val controllers = (settings.peers.map { it.member } + settings.member).sorted()
 
     /** Runs the command with [words] after its name; returns the exit code, or null if the words cannot be used. */
     fun run(words: List<String>): Int? {
-        if (settings.operator.sharing == null) return refused("machines are not shared: the operators' file has no block sharing")
+        if (settings.operator.sharding == null) return refused("machines are not shared: the operators' file has no block sharing")
         return when {
             words == listOf("show") -> onLoop { show(it) }
             words.size == 2 && words[0] == "show" -> onLoop { show(it, words[1]) }
-            words.size == 3 && words[0] == "move" -> onLoop { told(it.move(words[1], words[2])) }
-            words.size == 2 && words[0] == "cancel" -> onLoop { told(it.cancel(words[1])) }
-            words == listOf("unshare") -> onLoop { told(it.endSharing()) }
-            words.size == 2 && words[0] == "drain" -> onLoop { told(it.drain(words[1])) }
-            words.size == 2 && words[0] == "resume" -> onLoop { told(it.resume(words[1])) }
+            words.size == 3 && words[0] == "move" -> onLoop { printOutcome(it.move(words[1], words[2])) }
+            words.size == 2 && words[0] == "cancel" -> onLoop { printOutcome(it.cancel(words[1])) }
+            words == listOf("unshare") -> onLoop { printOutcome(it.endSharding()) }
+            words.size == 2 && words[0] == "drain" -> onLoop { printOutcome(it.drain(words[1])) }
+            words.size == 2 && words[0] == "resume" -> onLoop { printOutcome(it.resume(words[1])) }
             else -> null
         }
     }
@@ -31,7 +33,7 @@
     private fun onLoop(action: suspend (MachineOrders) -> Int): Int {
         val tracer = MoveTracing.of(settings, "machines")
         return try {
-            CommandLoop.run(settings) { action(MachineOrders(settings.operator.sharing!!, controllers, it.store, tracer)) }
+            CommandLoop.run(settings) { action(MachineOrders(settings.operator.sharding!!, controllers, it.store, tracer)) }
         } finally {
             (tracer as? AutoCloseable)?.close()
         }
@@ -45,15 +47,15 @@
 
     private suspend fun show(
         orders: MachineOrders,
-        share: String,
+        shard: String,
     ): Int {
         val status = orders.status() ?: return unavailable()
-        val shown = status.shares.firstOrNull { it.name == share } ?: return refused("refused: ${Refusal.UNKNOWN_SHARE.reason}")
+        val shown = status.shards.firstOrNull { it.name == shard } ?: return refused("refused: ${Refusal.UNKNOWN_SHARD.reason}")
         MachineRanges(shown.machines).describe().forEach(print)
         return DONE
     }
 
-    private fun told(outcome: OrderOutcome): Int =
+    private fun printOutcome(outcome: OrderOutcome): Int =
         when (outcome) {
             OrderOutcome.Done -> DONE.also { print("done") }
             is OrderOutcome.Refused -> refused("refused: ${outcome.reason}")
--- a/src/main/kotlin/mintfield/app/sharing/OwnershipPrinter.kt
+++ b/src/main/kotlin/mintfield/app/cli/OwnershipPrinter.kt
@@ -1,29 +1,30 @@
-package mintfield.app.sharing
+package mintfield.app.cli
 
+import mintfield.app.sharding.OwnershipStatus
 import mintfield.core.ownership.Assignment
 import mintfield.io.json.Json
 
 /** Presents who owns what to operators, as lines or, for programs, as JSON by docs/schemas/machines-show.schema.json. */
 object OwnershipPrinter {
     fun lines(status: OwnershipStatus): List<String> {
-        val shares = status.shares.map { "${it.name}: ${it.machines.size} machines, led by ${it.leader ?: "nobody"}" }
+        val shards = status.shards.map { "${it.name}: ${it.machines.size} machines, led by ${it.leader ?: "nobody"}" }
         val moves = status.moves.map { (machine, move) -> "$machine: ${describe(move)}" }
         val drained =
             status.drained.map { controller ->
                 "$controller: drained, leads ${status.ledBy(controller).joinToString(", ").ifEmpty { "nothing" }}"
             }
-        return shares + moves + drained
+        return shards + moves + drained
     }
 
     fun json(status: OwnershipStatus): String =
         String(
             Json.obj {
                 writeArrayFieldStart("shares")
-                for (share in status.shares) {
+                for (shard in status.shards) {
                     writeStartObject()
-                    writeStringField("name", share.name)
-                    writeStringField("leader", share.leader)
-                    writeNumberField("machines", share.machines.size)
+                    writeStringField("name", shard.name)
+                    writeStringField("leader", shard.leader)
+                    writeNumberField("machines", shard.machines.size)
                     writeEndObject()
                 }
                 writeEndArray()
--- a/src/main/kotlin/mintfield/app/pipelines/PipelineCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/PipelineCommand.kt
@@ -1,6 +1,5 @@
-package mintfield.app.pipelines
+package mintfield.app.cli
 
-import mintfield.app.CommandLoop
 import mintfield.core.model.FinalState
 import mintfield.core.model.Settings
 import mintfield.io.json.bool
@@ -18,8 +17,8 @@
 ) {
     /** Runs the command for the job [id]; returns the exit code. */
     fun run(id: String): Int =
-        CommandLoop.run(settings) { outside ->
-            val lines = PipelineReader(outside.store).describe(id)
+        CommandLoop.run(settings) { services ->
+            val lines = PipelineReader(services.store).describe(id)
             lines?.forEach(print) ?: print("the state service does not answer")
             if (lines == null) UNAVAILABLE else DONE
         }
@@ -41,7 +40,7 @@
         ) : Recorded
 
         class Unfinished(
-            val withdrawn: Boolean,
+            val cancelled: Boolean,
             val predecessors: List<String>,
         ) : Recorded
 
@@ -55,7 +54,7 @@
         val depth: Int,
     )
 
-    /** A line a job, the predecessors indented under it; null if the state service does not answer. */
+    /** A line a job, the predecessors indented under it; null if the store does not answer. */
     suspend fun describe(id: String): List<String>? {
         val lines = ArrayList<String>()
         val seen = HashSet<String>()
@@ -79,7 +78,7 @@
         when (recorded) {
             is Recorded.Ended -> JobPhaseCodec.write(recorded.state.stage)
             is Recorded.Unfinished -> {
-                val state = if (recorded.withdrawn) "withdrawn, its tasks are being stopped" else "unfinished"
+                val state = if (recorded.cancelled) "withdrawn, its tasks are being stopped" else "unfinished"
                 if (recorded.predecessors.isEmpty()) state else "$state, submitted to start after ${recorded.predecessors.size} others:"
             }
             Recorded.Unreadable -> "has a record that cannot be read"
@@ -92,14 +91,14 @@
         final.value?.let { entry -> return Records.parseFinal(entry.data)?.let { Recorded.Ended(it) } ?: Recorded.Unreadable }
         val live = store.get(Keys.live(id)) as? StoreResult.Ok ?: return null
         val entry = live.value ?: return Recorded.Nothing
-        val job = Records.parseLive(entry.data, entry.mark) { emptyList() } ?: return Recorded.Unreadable
+        val job = Records.parseLive(entry.data, entry.revision) { emptyList() } ?: return Recorded.Unreadable
         return Recorded.Unfinished(entry.data.bool("withdrawn") ?: false, job.spec.predecessors)
     }
 
     private companion object {
         const val INDENT = "  "
 
-        /** Jobs shown at the most; a line costs one or two requests to the state service. */
+        /** Jobs shown at the most; a line costs one or two requests to the store. */
         const val MOST_LINES = 200
     }
 }
--- a/src/main/kotlin/mintfield/app/Member.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -1,4 +1,4 @@
-package mintfield.app
+package mintfield.app.election
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
@@ -6,53 +6,56 @@
 import kotlinx.coroutines.cancel
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.plus
-import mintfield.app.sharing.SharePart
+import mintfield.app.ExternalServices
+import mintfield.app.leader.Leader
+import mintfield.app.replica.JobReplicator
+import mintfield.app.sharding.ShardElection
 import mintfield.core.Tuning
-import mintfield.core.leadership.CancellationHorizon
+import mintfield.core.leadership.CancellationWatermark
 import mintfield.core.leadership.LeaderRole
 import mintfield.core.leadership.LeaseClock
 import mintfield.core.leadership.Role
-import mintfield.core.ownership.ShareSettings
+import mintfield.core.ownership.ShardSettings
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 import mintfield.io.store.Entry
-import mintfield.io.store.Guard
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.LeaderKeys
+import mintfield.io.store.Precondition
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 import kotlin.coroutines.coroutineContext
 import kotlin.random.Random
 
 /** This process's part in the leadership: it seeks a leader, follows it, and stands when there is none. */
-class Member(
+class LeaderElection(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
-    private val outside: Outside,
-    private val view: JobView,
-    private val horizon: CancellationHorizon,
+    private val services: ExternalServices,
+    private val replicator: JobReplicator,
+    private val cancellationWatermark: CancellationWatermark,
     /** The share that is to be led, if machines are shared. */
-    private val part: SharePart? = null,
+    private val part: ShardElection? = null,
     private val announce: () -> Unit,
 ) {
-    val share: ShareSettings? = part?.share
-    private val keys = LeaderKeys(share?.name)
-    private val store = outside.store
-    private val leaseMs = outside.settings.operator.leaderLeaseMs
-    private val me = outside.settings.member
-    private val random = Random(System.nanoTime() xor me.hashCode().toLong())
+    val shard: ShardSettings? = part?.shard
+    private val keys = LeaderKeys(shard?.name)
+    private val store = services.store
+    private val leaseMs = services.settings.operator.leaderLeaseMs
+    private val memberName = services.settings.member
+    private val random = Random(System.nanoTime() xor memberName.hashCode().toLong())
 
     /** Tells this process from an earlier one of the same member. */
     private val nonce = java.lang.Long.toHexString(random.nextLong())
-    val leadership = LeaderRole { Log.info(if (share == null) it else "${share.name}: $it") }
+    val leaderRole = LeaderRole { Log.info(if (shard == null) it else "${shard.name}: $it") }
     var leader: Leader? = null
         private set
 
     /** Who claimed to lead while the store could not be asked. */
-    private var heardLeader: String? = null
+    private var claimedLeader: String? = null
 
     /** Whom workers should go to, as far as is known. */
-    val known: String? get() = if (leadership.role == Role.SEEKING) heardLeader else leadership.leader
+    val known: String? get() = if (leaderRole.role == Role.SEEKING) claimedLeader else leaderRole.leader
 
     suspend fun run() {
         while (true) {
@@ -67,20 +70,20 @@
     }
 
     private suspend fun step() {
-        when (leadership.role) {
-            Role.SEEKING, Role.FOLLOWING -> seek()
-            Role.CANDIDATE -> stand()
+        when (leaderRole.role) {
+            Role.SEEKING, Role.FOLLOWING -> discoverLeader()
+            Role.CANDIDATE -> campaign()
             Role.LEADING -> delay(Tuning.TICK_MS)
         }
     }
 
-    private suspend fun seek() {
+    private suspend fun discoverLeader() {
         when (val r = store.get(keys.leader, urgent = true)) {
             is StoreResult.Ok -> {
                 val entry = r.value
                 when {
-                    entry == null -> leadership.moveTo(Role.CANDIDATE, null)
-                    entry.data["member"] == me && leader == null -> endOwn(entry)
+                    entry == null -> leaderRole.moveTo(Role.CANDIDATE, null)
+                    entry.data["member"] == memberName && leader == null -> endStaleLease(entry)
                     else -> follow(entry)
                 }
             }
@@ -90,23 +93,23 @@
     }
 
     /** A key of our own that we do not hold is from an earlier process, which is gone: its lease may end now. */
-    private suspend fun endOwn(entry: Entry) {
-        Log.info("ending the lease of an earlier process of $me, term ${entry.mark}")
+    private suspend fun endStaleLease(entry: Entry) {
+        Log.info("ending the lease of an earlier process of $memberName, term ${entry.revision}")
         entry.lease?.let { store.endLease(it) }
-        leadership.moveTo(Role.SEEKING, null)
+        leaderRole.moveTo(Role.SEEKING, null)
     }
 
     private suspend fun follow(entry: Entry) {
-        leadership.moveTo(Role.FOLLOWING, entry.data["member"] as? String)
-        var after = entry.mark
+        leaderRole.moveTo(Role.FOLLOWING, entry.data["member"] as? String)
+        var after = entry.revision
         while (true) {
             when (val r = store.watch(keys.leader, after, Tuning.LEADER_WATCH_MS, urgent = true)) {
                 is StoreResult.Ok -> {
                     if (r.value.tooOld) return
                     val last = r.value.newest()
                     after = maxOf(after, r.value.revision)
-                    if (last != null && last.data == null) return leadership.moveTo(Role.CANDIDATE, null)
-                    if (last != null) leadership.moveTo(Role.FOLLOWING, last.data?.get("member") as? String)
+                    if (last != null && last.data == null) return leaderRole.moveTo(Role.CANDIDATE, null)
+                    if (last != null) leaderRole.moveTo(Role.FOLLOWING, last.data?.get("member") as? String)
                 }
 
                 else -> return delay(Tuning.STORE_RETRY_MS * 2)
@@ -114,24 +117,24 @@
         }
     }
 
-    private suspend fun stand() {
+    private suspend fun campaign() {
         delay(random.nextLong(Tuning.ELECTION_SPREAD_MS))
         if (part != null) {
             // The controller that should lead a share goes first, if it is up.
-            delay(part.standDelayMs())
+            delay(part.campaignDelayMs())
             if (!part.activation.ready()) {
                 delay(Tuning.ACTIVATION_RETRY_MS)
-                return leadership.moveTo(Role.SEEKING, null)
+                return leaderRole.moveTo(Role.SEEKING, null)
             }
         }
         val sentAt = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value
         if (lease == null) {
             delay(Tuning.STORE_RETRY_MS)
-            return leadership.moveTo(Role.SEEKING, null)
+            return leaderRole.moveTo(Role.SEEKING, null)
         }
-        val put = KeyWrite.Put(keys.leader, Leader.leaderValue(me, nonce), lease)
-        val r = store.txn(listOfNotNull(Guard(keys.leader, 0), part?.activation?.guard), listOf(put), urgent = true)
+        val put = KeyWrite.Put(keys.leader, Leader.leaderValue(memberName, nonce), lease)
+        val r = store.txn(listOfNotNull(Precondition(keys.leader, 0), part?.activation?.precondition), listOf(put), urgent = true)
         if (r is StoreResult.Ok && part != null) part.activation.checkGuard(r.value)
         val term =
             when {
@@ -141,7 +144,7 @@
             }
         if (term == null) {
             store.endLease(lease)
-            return leadership.moveTo(Role.SEEKING, null)
+            return leaderRole.moveTo(Role.SEEKING, null)
         }
         lead(term, lease, LeaseClock(leaseMs, sentAt))
     }
@@ -153,7 +156,7 @@
      */
     private suspend fun termOf(lease: Long): Long? {
         val entry = (store.get(keys.leader, urgent = true) as? StoreResult.Ok)?.value
-        return entry?.takeIf { it.data["nonce"] == nonce && it.lease == lease }?.mark
+        return entry?.takeIf { it.data["nonce"] == nonce && it.lease == lease }?.revision
     }
 
     private fun lead(
@@ -161,49 +164,50 @@
         lease: Long,
         clock: LeaseClock,
     ) {
-        leadership.moveTo(Role.LEADING, me)
-        Log.info("leading ${share?.name ?: ""}".trim() + " with term $term")
+        leaderRole.moveTo(Role.LEADING, memberName)
+        Log.info("leading ${shard?.name ?: ""}".trim() + " with term $term")
         val terms = scope + SupervisorJob(scope.coroutineContext[Job])
-        val fresh = Leader(loop, terms, outside, view, nonce, lease, clock, term, horizon, part?.leader()) { why -> depose(terms, why) }
+        val fresh =
+            Leader(loop, terms, services, replicator, nonce, lease, clock, term, cancellationWatermark, part?.leader()) { reason -> depose(terms, reason) }
         leader = fresh
         fresh.start()
         announce()
     }
 
     /** Gives the lead to whoever stands first, without waiting for the lease to end. */
-    suspend fun handBack(why: String) {
+    suspend fun transferLeadership(reason: String) {
         val mine = leader ?: return
-        mine.resign(why)
+        mine.resign(reason)
         // Only now: from here on the next one may lead at any moment.
         mine.endLease()
     }
 
     private fun depose(
         terms: CoroutineScope,
-        why: String,
+        reason: String,
     ) {
         if (leader == null) return
-        Log.info("not leading any more: $why")
-        leader?.let(view.listeners::remove)
+        Log.info("not leading any more: $reason")
+        leader?.let(replicator.listeners::remove)
         leader = null
-        leadership.moveTo(Role.SEEKING, null)
+        leaderRole.moveTo(Role.SEEKING, null)
         terms.cancel()
     }
 
     /**
-     * A sibling says that it leads. With a higher term than ours it is right, and the workers that still come here must
+     * A peer says that it leads. With a higher term than ours it is right, and the workers that still come here must
      * hear of it at once, not when the store can be reached again: until then their leases hang on us.
      */
-    fun siblingLeads(
-        sibling: String,
+    fun peerLeads(
+        peer: String,
         term: Long,
     ) {
         val mine = leader
         if (mine != null && term > mine.scheduler.cluster.term) {
-            mine.resign("$sibling leads with term $term")
-            heardLeader = sibling
+            mine.resign("$peer leads with term $term")
+            claimedLeader = peer
             return
         }
-        if (mine == null && leadership.role == Role.SEEKING) heardLeader = sibling
+        if (mine == null && leaderRole.role == Role.SEEKING) claimedLeader = peer
     }
 }
--- a/src/main/kotlin/mintfield/app/LeaderCommits.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -1,60 +1,61 @@
-package mintfield.app
+package mintfield.app.leader
 
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
+import mintfield.app.ExternalServices
 import mintfield.core.Commit
 import mintfield.core.CommitResult
 import mintfield.core.Scheduler
 import mintfield.core.Tuning
 import mintfield.core.Write
 import mintfield.core.model.FinalState
-import mintfield.core.model.Stage
+import mintfield.core.model.JobPhase
 import mintfield.core.model.StateLimits
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
-import mintfield.io.loop.Pacer
-import mintfield.io.store.Guard
+import mintfield.io.loop.RateLimiter
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.LeaderKeys
+import mintfield.io.store.Precondition
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-/** Writes what the scheduler decides to the state service, one transaction at a time, at the leader's part of the permitted pace. */
-class LeaderCommits(
+/** Writes what the scheduler decides to the store, one transaction at a time, at the leader's part of the permitted pace. */
+class CommitLoop(
     private val loop: EventLoop,
-    private val outside: Outside,
+    private val services: ExternalServices,
     private val keys: LeaderKeys,
     lease: Long,
     private val scheduler: Scheduler,
     private val mayAct: () -> Boolean,
     private val checkLeaderKey: suspend () -> Unit,
-    private val leaseEnded: () -> Unit,
+    private val leaseExpired: () -> Unit,
     /** Told of the final states that it has written. */
     private val ended: (String, FinalState) -> Unit,
     leaderValue: () -> ByteArray,
 ) {
-    private val settings = outside.settings
-    private val store = outside.store
-    private val limits = outside.stateLimits
-    private val storeWrites = StoreWrites(keys, limits, lease, leaderValue)
+    private val settings = services.settings
+    private val store = services.store
+    private val limits = services.stateLimits
+    private val writeEncoder = WriteEncoder(keys, limits, lease, leaderValue)
 
     /** Its part of the permitted writes: the leaders of other shares write as well. */
     private val permittedWrites: Double
         get() =
             limits.current.writeRps / (
-                settings.operator.sharing
-                    ?.shares
+                settings.operator.sharding
+                    ?.shards
                     ?.size ?: 1
             )
-    private val writes = Pacer(loop, permittedWrites * Tuning.LEADER_WRITE_SHARE, limits.current.txnOps.toDouble())
-    private val wake = Channel<Unit>(Channel.CONFLATED)
+    private val writes = RateLimiter(loop, permittedWrites * Tuning.LEADER_WRITE_SHARE, limits.current.txnOps.toDouble())
+    private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private var pacedFor = limits.current
     private var yieldUntilMs = 0L
 
     /** Changes of users wait for the store: leaves them room for a while. */
-    fun giveWay() {
+    fun yieldToUsers() {
         yieldUntilMs = loop.nowMs() + Tuning.YIELD_MS
         writes.rate = permittedWrites * Tuning.LEADER_WRITE_SHARE_YIELDING
     }
@@ -76,8 +77,8 @@
     }
 
     /** Something may have to be written. */
-    fun kick() {
-        wake.trySend(Unit)
+    fun wake() {
+        wakeSignal.trySend(Unit)
     }
 
     /** Counts [count] writes that were made besides. */
@@ -86,7 +87,7 @@
     /** Writes as long as there is something to write, until cancelled; [afterEach] is called after each transaction and each wait. */
     suspend fun run(afterEach: () -> Unit) {
         while (true) {
-            withTimeoutOrNull(IDLE_WAIT_MS) { wake.receive() }
+            withTimeoutOrNull(IDLE_WAIT_MS) { wakeSignal.receive() }
             while (mayAct()) {
                 val ops = minOf(limits.current.txnOps, writesAvailable().toInt())
                 val commit = scheduler.nextCommit(loop.nowMs(), System.currentTimeMillis(), ops, yieldUntilMs > 0) ?: break
@@ -101,7 +102,7 @@
     /** What of a commit one transaction has room for. */
     private class Transaction(
         val taken: List<Write>,
-        val guards: List<Guard>,
+        val preconditions: List<Precondition>,
         val puts: List<KeyWrite>,
         /** The limits that it was made for. */
         val limits: StateLimits,
@@ -112,37 +113,37 @@
         scheduler.untaken(wanted.writes.drop(transaction.taken.size), loop.nowMs())
         writes.take(transaction.puts.size.toDouble())
         val sentAt = loop.nowMs()
-        val result = outcome(store.txn(transaction.guards, transaction.puts, urgent = true), transaction)
-        outside.metrics.committed(loop.nowMs() - sentAt)
+        val result = outcome(store.txn(transaction.preconditions, transaction.puts, urgent = true), transaction)
+        services.metrics.committed(loop.nowMs() - sentAt)
         scheduler.committed(Commit(wanted.term, transaction.taken), result, loop.nowMs())
         if (result is CommitResult.Done) transaction.taken.forEach(::tellEnd)
     }
 
     private fun tellEnd(write: Write) {
         when (write) {
-            is Write.Finish -> ended(write.job.id, FinalState(Stage.DONE, write.job.spec.tasks, System.currentTimeMillis()))
-            is Write.CancelSuccessor -> ended(write.job.id, FinalState(Stage.WITHDRAWN, 0, System.currentTimeMillis()))
+            is Write.FinishJob -> ended(write.job.id, FinalState(JobPhase.DONE, write.job.spec.tasks, System.currentTimeMillis()))
+            is Write.CancelSuccessor -> ended(write.job.id, FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis()))
             else -> {}
         }
     }
 
     private fun transaction(wanted: Commit): Transaction {
-        val guards = LinkedHashMap<String, Guard>()
-        guards[keys.leader] = Guard(keys.leader, wanted.term)
+        val preconditions = LinkedHashMap<String, Precondition>()
+        preconditions[keys.leader] = Precondition(keys.leader, wanted.term)
         val puts = ArrayList<KeyWrite>()
         val taken = ArrayList<Write>()
         val inForce = limits.current
         var bytes = 0
         for (w in wanted.writes) {
-            val writes = storeWrites.keyWrites(w)
+            val writes = writeEncoder.keyWrites(w)
             val size = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + WRITE_OVERHEAD * (writes.size + 2)
             if (puts.isNotEmpty() && (puts.size + writes.size > inForce.txnOps || bytes + size > Tuning.MAX_TXN_BYTES)) break
-            storeWrites.guardsOf(w).forEach { guards[it.key] = it }
+            writeEncoder.preconditionsOf(w).forEach { preconditions[it.key] = it }
             puts.addAll(writes)
             bytes += size
             taken.add(w)
         }
-        return Transaction(taken, guards.values.toList(), puts, inForce)
+        return Transaction(taken, preconditions.values.toList(), puts, inForce)
     }
 
     private suspend fun outcome(
@@ -153,12 +154,12 @@
             is StoreResult.Ok -> answered(result.value, transaction)
             is StoreResult.Refused -> {
                 Log.debug("a commit of ${transaction.puts.size} writes was refused with ${result.status}")
-                if (result.status == TOO_MANY) giveWay()
+                if (result.status == TOO_MANY) yieldToUsers()
                 delay(Tuning.STORE_RETRY_MS)
                 CommitResult.Refused
             }
             is StoreResult.Unknown -> {
-                Log.info("no answer to a commit of ${transaction.puts.size} writes: ${result.why}; the term will rise")
+                Log.info("no answer to a commit of ${transaction.puts.size} writes: ${result.reason}; the term will be raised")
                 CommitResult.Unknown
             }
         }
@@ -172,7 +173,7 @@
             is TxnOutcome.Failed -> failed(outcome.keys)
             is TxnOutcome.Malformed -> malformed(outcome, transaction)
             TxnOutcome.LeaseGone -> {
-                leaseEnded()
+                leaseExpired()
                 CommitResult.Refused
             }
         }
--- a/src/main/kotlin/mintfield/app/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -1,7 +1,8 @@
-package mintfield.app
+package mintfield.app.leader
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
+import mintfield.app.ExternalServices
 import mintfield.core.DirectCall
 import mintfield.core.Scheduler
 import mintfield.core.Tuning
@@ -10,11 +11,11 @@
 import mintfield.io.loop.Log
 import mintfield.io.worker.WorkerCodec
 
-/** Sends commands to workers without waiting for their reports, a bounded number at a time. */
+/** Sends commands to workers without waiting for their heartbeats, a bounded number at a time. */
 class DirectCommandSender(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
-    private val outside: Outside,
+    private val services: ExternalServices,
     private val scheduler: Scheduler,
     /** Told of each answer. */
     private val answered: () -> Unit,
@@ -36,13 +37,13 @@
     }
 
     private suspend fun send(call: DirectCall) {
-        val client = outside.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
-        val body = WorkerCodec.orders(call.term, call.season, call.orders)
+        val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
+        val body = WorkerCodec.commands(call.term, call.incarnation, call.commands)
         when (val r = client.call("POST", "/commands", body, Tuning.DIRECT_TIMEOUT_MS)) {
             is Reply.Answer -> {
-                val report = if (r.status == 200 || r.status == 409) WorkerCodec.report(r.body) else null
-                if (r.status == 409) Log.info("${call.machine} refused orders of term ${call.term}, season ${call.season}")
-                scheduler.directAnswered(call, report, loop.nowMs())
+                val heartbeat = if (r.status == 200 || r.status == 409) WorkerCodec.heartbeat(r.body) else null
+                if (r.status == 409) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
+                scheduler.directAnswered(call, heartbeat, loop.nowMs())
                 answered()
             }
 
--- a/src/main/kotlin/mintfield/app/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -1,6 +1,8 @@
-package mintfield.app
+package mintfield.app.leader
 
 import kotlinx.coroutines.delay
+import mintfield.app.ExternalServices
+import mintfield.app.replica.JobReplicator
 import mintfield.core.Scheduler
 import mintfield.core.Tuning
 import mintfield.core.jobs.JobListener
@@ -16,42 +18,42 @@
 /** What a new leader reads before it plans anything: the recorded outputs of the steps of all unfinished jobs. */
 class Replay(
     private val loop: EventLoop,
-    private val outside: Outside,
-    private val view: JobView,
+    private val services: ExternalServices,
+    private val replicator: JobReplicator,
     private val scheduler: Scheduler,
     private val keys: LeaderKeys,
     /** Whether the leader schedules a job. */
     private val mine: (JobSpec) -> Boolean,
 ) {
-    private val store = outside.store
+    private val store = services.store
 
     /** Rebuilds the picture: catalogue, jobs, intents, machines, recorded plans and done-sets; then work goes on. */
     suspend fun run(listener: JobListener) {
         val startMs = loop.nowMs()
         // Nobody is renewed on a view of the jobs from before the election.
-        while (!view.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
         // Before anybody is answered: what an earlier leader gave its word on must hold.
-        for (e in readAll(keys.disowned)) {
-            val key = e.key.removePrefix(keys.disowned)
-            Records.parseDisowned(key, e.data)?.let { scheduler.disowning.replay(it) } ?: scheduler.disowning.replayUnreadable(key)
+        for (e in readAll(keys.zoneFences)) {
+            val key = e.key.removePrefix(keys.zoneFences)
+            Records.parseZoneFence(key, e.data)?.let { scheduler.zoneFencing.replay(it) } ?: scheduler.zoneFencing.replayUnreadable(key)
         }
-        scheduler.disowning.read = true
-        while (outside.types.isEmpty()) {
-            outside.readTypes()
-            if (outside.types.isEmpty()) delay(Tuning.CLOUD_RETRY_MS)
+        scheduler.zoneFencing.read = true
+        while (services.types.isEmpty()) {
+            services.readTypes()
+            if (services.types.isEmpty()) delay(Tuning.CLOUD_RETRY_MS)
         }
-        scheduler.types(outside.types.values.toList(), loop.nowMs())
+        scheduler.types(services.types.values.toList(), loop.nowMs())
         renewFirst()
-        while (!view.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
         val intents = readAll(keys.intents)
-        val rounds = readAll(keys.rounds).sortedBy { it.mark }
+        val rounds = readAll(keys.rounds).sortedBy { it.revision }
         readMachines()
-        val hints = readAll(keys.hints).map { Records.parseHints(it.data) }
+        val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
         // Abort and accept of other nodes may have come meanwhile; from here on the listener tells them.
-        while (!view.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
         val now = loop.nowMs()
-        view.listeners.add(listener)
-        view.live.values
+        replicator.listeners.add(listener)
+        replicator.live.values
             .filter { mine(it.spec) }
             .forEach { scheduler.jobChanged(it, now) }
         intents.forEach { scheduler.replayIntent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
@@ -60,12 +62,12 @@
             val record =
                 Records.parseRound(r.data) { job ->
                     keep = true
-                    Log.error("${r.key}: what the round of revision ${r.mark} says of ${job ?: "some job"} cannot be read; it is kept")
+                    Log.error("${r.key}: what the round of revision ${r.revision} records of ${job ?: "some job"} cannot be read; it is kept")
                     if (job == null) scheduler.replayUnreadableRound(now) else scheduler.replayUnreadableJob(job)
                 }
-            scheduler.replayRound(r.key.removePrefix(keys.rounds), record, r.mark, now, keep)
+            scheduler.replayRound(r.key.removePrefix(keys.rounds), record, r.revision, now, keep)
         }
-        hints.forEach { scheduler.recall(it) }
+        learnedState.forEach { scheduler.restore(it) }
         scheduler.replayDone(now)
         Log.info(
             "replayed ${scheduler.cluster.jobs.size} jobs, ${rounds.size} rounds, ${intents.size} intents, " +
@@ -101,7 +103,7 @@
     private suspend fun readMachines() {
         var after: String? = null
         while (true) {
-            val page = (outside.cloud.list(after) as? CloudResult.Ok)?.value ?: return
+            val page = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
             scheduler.listed(page.first, page.second, loop.nowMs())
             if (!page.second) return
             after = page.first.lastOrNull()?.id ?: return
--- a/src/main/kotlin/mintfield/io/peer/ProgressNotes.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -1,13 +1,14 @@
-package mintfield.io.peer
+package mintfield.app.peer
 
-import mintfield.app.Progress
+import mintfield.app.api.Progress
 import mintfield.core.Tuning
+import mintfield.io.peer.JobProgress
 
 /**
  * Which jobs' progress the next note tells. A note has room for so many; if there are more, each note goes on where the one before
  * ended, so that every job is told of in turn.
  */
-class ProgressPages(
+class ProgressPager(
     private val perNote: Int = Tuning.PROGRESS_PER_NOTE,
 ) {
     private var position = 0
@@ -27,14 +28,14 @@
     }
 }
 
-/** What the notes of one leading sibling have told of the progress of its jobs. */
-class ProgressBoard {
-    private class Told(
+/** What the notes of one leading peer have told of the progress of its jobs. */
+class PeerProgress {
+    private class Observed(
         val progress: Progress,
         val atMs: Long,
     )
 
-    private var jobs = LinkedHashMap<String, Told>()
+    private var jobs = LinkedHashMap<String, Observed>()
 
     /** Takes in the [page] of a note of a leader that has [total] jobs. */
     fun take(
@@ -45,7 +46,7 @@
         if (page.size >= total) jobs = LinkedHashMap(page.size * 2)
         for (job in page) {
             jobs.remove(job.id)
-            jobs[job.id] = Told(Progress(job.done, job.running), nowMs)
+            jobs[job.id] = Observed(Progress(job.done, job.running), nowMs)
         }
         val oldest = jobs.values.iterator()
         while (oldest.hasNext() && nowMs - oldest.next().atMs > Tuning.PROGRESS_KEPT_MS) oldest.remove()
--- a/src/main/kotlin/mintfield/app/JobView.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -1,4 +1,4 @@
-package mintfield.app
+package mintfield.app.replica
 
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CompletableDeferred
@@ -24,15 +24,15 @@
 import mintfield.io.store.StoreResult
 
 /**
- * Keeps this node's [JobReplica] by the state service. The replica may lag; [current] brings it up to the time of the call, with
+ * Keeps this node's [JobReplica] by the store. The replica may lag; [current] brings it up to the time of the call, with
  * one request to the store for all who wait.
  */
-class JobView(
+class JobReplicator(
     private val store: StoreClient,
     private val scope: CoroutineScope,
     private val checkGapMs: Long,
     private val nowMs: () -> Long,
-    private val fitsAnew: (AcceptedJob) -> List<String>,
+    private val recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
 ) {
     private enum class CatchUp { CURRENT, HISTORY_LOST, NO_ANSWER }
 
@@ -58,7 +58,7 @@
 
                 override fun becameReady(id: String) = listeners.forEach { it.becameReady(id) }
 
-                override fun becameDoomed(id: String) = listeners.forEach { it.becameDoomed(id) }
+                override fun dependencyCancelled(id: String) = listeners.forEach { it.dependencyCancelled(id) }
             }
     }
 
@@ -73,7 +73,7 @@
     /** What this node knows of the job [id] now. */
     fun known(id: String): KnownJob? = replica.known(id)
 
-    /** Keeps the final state of job [id], which the state service holds. */
+    /** Keeps the final state of job [id], which the store holds. */
     fun ended(
         id: String,
         state: FinalState,
@@ -171,18 +171,18 @@
     private fun records(page: Page): Map<String, JobRecord> =
         page.entries.associate { entry ->
             val id = entry.key.removePrefix(Keys.LIVE)
-            id to record(id, entry.data, entry.mark)
+            id to record(id, entry.data, entry.revision)
         }
 
     private fun jobChange(change: Change): JobChange? {
         val data = change.data
         if (change.key.startsWith(Keys.LIVE)) {
             val id = change.key.removePrefix(Keys.LIVE)
-            return if (data == null) JobChange.Removed(id, change.mark) else JobChange.Written(id, record(id, data, change.mark))
+            return if (data == null) JobChange.Removed(id, change.revision) else JobChange.Written(id, record(id, data, change.revision))
         }
         if (!change.key.startsWith(Keys.FINAL) || data == null) return null
         val state = Records.parseFinal(data) ?: return null
-        return JobChange.Ended(change.key.removePrefix(Keys.FINAL), change.mark, state)
+        return JobChange.Ended(change.key.removePrefix(Keys.FINAL), change.revision, state)
     }
 
     /** Looks up how those predecessors ended that were over before this node read the jobs. */
@@ -221,17 +221,17 @@
     private fun record(
         id: String,
         data: Map<String, Any?>,
-        mark: Long,
+        revision: Long,
     ): JobRecord {
         val job =
             try {
-                Records.parseLive(data, mark, fitsAnew)
+                Records.parseLive(data, revision, recomputeCompatibleTypes)
             } catch (e: RuntimeException) {
                 Log.debug("$id: $e")
                 null
             }
         if (job != null) return JobRecord.Readable(job)
-        if (!replica.isUnreadable(id, mark)) Log.error("$id: its record of revision $mark cannot be read; it is kept and called pending")
-        return JobRecord.Unreadable(mark)
+        if (!replica.isUnreadable(id, revision)) Log.error("$id: its record of revision $revision cannot be read; it is kept and called pending")
+        return JobRecord.Unreadable(revision)
     }
 }
--- a/src/main/kotlin/mintfield/app/sharing/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -1,4 +1,4 @@
-package mintfield.app.sharing
+package mintfield.app.sharding
 
 import kotlinx.coroutines.delay
 import mintfield.core.Tuning
@@ -12,7 +12,7 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
-/** Keeps this node's [table] of assignments, and who is drained, by the state service. */
+/** Keeps this node's [table] of assignments, and who is drained, by the store. */
 class AssignmentReplica(
     private val store: StoreClient,
 ) {
@@ -31,14 +31,14 @@
         while (true) if (!catchUp(Tuning.JOBS_WATCH_MS)) delay(Tuning.STORE_RETRY_MS)
     }
 
-    /** Shows all that had happened when this was called; false if the state service cannot be asked. */
+    /** Shows all that had happened when this was called; false if the store cannot be asked. */
     suspend fun current(): Boolean = catchUp(waitMs = 0)
 
     private suspend fun catchUp(waitMs: Long): Boolean {
         if (table.revision == 0L) return load()
         val changes = (store.watch(Keys.ASSIGNMENTS, table.revision, waitMs, urgent = true) as? StoreResult.Ok)?.value ?: return false
         if (changes.tooOld) return load()
-        for (change in changes.log) apply(change.key, change.data, change.mark)
+        for (change in changes.log) apply(change.key, change.data, change.revision)
         table.caughtUp(changes.revision)
         return true
     }
@@ -49,7 +49,7 @@
         do {
             val page = (store.list(Keys.ASSIGNMENTS, after, Tuning.PAGE) as? StoreResult.Ok)?.value ?: return false
             if (readAt == 0L) readAt = page.revision
-            page.entries.forEach { apply(it.key, it.data, it.mark) }
+            page.entries.forEach { apply(it.key, it.data, it.revision) }
             after = page.entries.lastOrNull()?.key
         } while (page.hasNext && after != null)
         table.caughtUp(readAt)
@@ -59,25 +59,25 @@
     private fun apply(
         key: String,
         data: Map<String, Any?>?,
-        mark: Long,
+        revision: Long,
     ) {
-        if (key == Keys.DRAINED) return applyDrained(data, mark)
+        if (key == Keys.DRAINED) return applyDrained(data, revision)
         val number = key.removePrefix(Keys.ASSIGNMENTS).toIntOrNull()
         if (number == null || number !in 0 until Tuning.ASSIGNMENT_BLOCKS) return Log.error("$key: not a block of assignments; it is left alone")
         // Nobody deletes a block: one that is gone says nothing of its machines, least of all that they are gone.
         val assignments = data?.let(AssignmentCodec::parse)
-        if (assignments == null) Log.error("$key: the assignments of revision $mark cannot be read; they are kept, and their machines left alone")
-        table.apply(number, AssignmentBlock(mark, assignments))
+        if (assignments == null) Log.error("$key: the assignments of revision $revision cannot be read; they are kept, and their machines left alone")
+        table.apply(number, AssignmentBlock(revision, assignments))
     }
 
     private fun applyDrained(
         data: Map<String, Any?>?,
-        mark: Long,
+        revision: Long,
     ) {
-        if (mark <= drainRecord.mark) return
+        if (revision <= drainRecord.revision) return
         val members = if (data == null) emptySet() else DrainCodec.parse(data)
-        if (members == null) Log.error("${Keys.DRAINED}: the record of revision $mark cannot be read; what was known before stands")
-        drainRecord = DrainRecord(mark, members)
+        if (members == null) Log.error("${Keys.DRAINED}: the record of revision $revision cannot be read; what was known before stands")
+        drainRecord = DrainRecord(revision, members)
         drained = members ?: drained
     }
 }
--- a/src/main/kotlin/mintfield/app/sharing/MachineOrders.kt
+++ b/src/main/kotlin/mintfield/app/sharding/MachineOrders.kt
@@ -1,4 +1,4 @@
-package mintfield.app.sharing
+package mintfield.app.sharding
 
 import mintfield.core.ownership.Assignment
 import mintfield.core.ownership.AssignmentTable
@@ -8,15 +8,15 @@
 import mintfield.core.ownership.KnownAssignment
 import mintfield.core.ownership.MoveTracer
 import mintfield.core.ownership.Refusal
-import mintfield.core.ownership.Shares
-import mintfield.core.ownership.SharingSettings
+import mintfield.core.ownership.ShardingSettings
+import mintfield.core.ownership.Shards
 import mintfield.core.ownership.Step
 import mintfield.io.ownership.AssignmentCodec
 import mintfield.io.ownership.DrainCodec
-import mintfield.io.store.Guard
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.LeaderKeys
+import mintfield.io.store.Precondition
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
@@ -29,12 +29,12 @@
         val reason: String,
     ) : OrderOutcome
 
-    /** The state service did not answer, or kept changing meanwhile; whether the order was carried out is not known. */
+    /** The store did not answer, or kept changing meanwhile; whether the order was carried out is not known. */
     data object Unavailable : OrderOutcome
 }
 
 /** A share as operators see it: who leads it, and how many machines it has. */
-data class ShareStatus(
+data class ShardSummary(
     val name: String,
     val leader: String?,
     val machines: List<String>,
@@ -42,29 +42,29 @@
 
 /** What operators see of the machines, their owners and the controllers that are drained. */
 class OwnershipStatus(
-    val shares: List<ShareStatus>,
+    val shards: List<ShardSummary>,
     val moves: Map<String, Assignment>,
     val drained: Set<String>,
 ) {
     /** The shares that [controller] leads. */
-    fun ledBy(controller: String): List<String> = shares.filter { it.leader == controller }.map { it.name }
+    fun ledBy(controller: String): List<String> = shards.filter { it.leader == controller }.map { it.name }
 }
 
-/** Operators' orders, carried out on the state service itself: no controller need be up for them. */
+/** Operators' orders, carried out on the store itself: no controller need be up for them. */
 class MachineOrders(
-    private val settings: SharingSettings,
+    private val settings: ShardingSettings,
     /** The names of all controllers. */
     private val controllers: List<String>,
     private val store: StoreClient,
     private val tracer: MoveTracer = MoveTracer.Off,
 ) {
-    /** Null if the state service does not answer. */
+    /** Null if the store does not answer. */
     suspend fun status(): OwnershipStatus? {
         val replica = read() ?: return null
         val table = replica.table
         val leaders = leaders() ?: return null
-        val shares = settings.shares.map { ShareStatus(it.name, leaders[it.name], table.machines(it.name)) }
-        return OwnershipStatus(shares, table.moving.toMap(), replica.drained)
+        val shards = settings.shards.map { ShardSummary(it.name, leaders[it.name], table.machines(it.name)) }
+        return OwnershipStatus(shards, table.moving.toMap(), replica.drained)
     }
 
     /** Orders the move of [machine] to the share [target]. */
@@ -72,10 +72,10 @@
         machine: String,
         target: String,
     ): OrderOutcome =
-        change(machine) { current, shares ->
+        change(machine) { current, shards ->
             // Only an order that is not refused begins a trace.
-            val step = Handover.order(current, target, shares)
-            if (step is Step.To) Handover.order(current, target, shares, tracer.ordered(machine, current!!.owner, target)) else step
+            val step = Handover.order(current, target, shards)
+            if (step is Step.To) Handover.order(current, target, shards, tracer.ordered(machine, current!!.owner, target)) else step
         }
 
     /** Takes the order to move [machine] back. */
@@ -95,7 +95,7 @@
                     is DrainStep.Refused -> return OrderOutcome.Refused(found.refusal.reason)
                     is DrainStep.To -> found.members
                 }
-            val result = store.txn(listOf(Guard(Keys.DRAINED, record.mark)), listOf(KeyWrite.Put(Keys.DRAINED, DrainCodec.write(members))))
+            val result = store.txn(listOf(Precondition(Keys.DRAINED, record.revision)), listOf(KeyWrite.Put(Keys.DRAINED, DrainCodec.write(members))))
             val outcome = (result as? StoreResult.Ok)?.value ?: return OrderOutcome.Unavailable
             if (outcome is TxnOutcome.Applied) return OrderOutcome.Done
         }
@@ -103,35 +103,35 @@
     }
 
     /** Lets one controller lead all machines again. Only while no share is led and no job is unfinished. */
-    suspend fun endSharing(): OrderOutcome {
+    suspend fun endSharding(): OrderOutcome {
         val key = LeaderKeys().leader
         val read = store.get(key) as? StoreResult.Ok ?: return OrderOutcome.Unavailable
-        val mark = read.value?.takeIf(SharingActivation::isMark)?.mark ?: return OrderOutcome.Refused("machines are not shared")
+        val revision = read.value?.takeIf(ShardingActivation::isMarker)?.revision ?: return OrderOutcome.Refused("machines are not shared")
         val leaders = leaders() ?: return OrderOutcome.Unavailable
         leaders.values.firstOrNull()?.let { return OrderOutcome.Refused("$it leads a share; stop all controllers first") }
         val jobs = (store.list(Keys.LIVE, null, 1) as? StoreResult.Ok)?.value ?: return OrderOutcome.Unavailable
         jobs.entries.firstOrNull()?.let { return OrderOutcome.Refused("job ${it.key.removePrefix(Keys.LIVE)} is unfinished") }
-        val nobodyLeads = settings.shares.map { Guard(LeaderKeys(it.name).leader, 0) }
-        val result = store.txn(nobodyLeads + Guard(key, mark), listOf(KeyWrite.Delete(key)))
+        val nobodyLeads = settings.shards.map { Precondition(LeaderKeys(it.name).leader, 0) }
+        val result = store.txn(nobodyLeads + Precondition(key, revision), listOf(KeyWrite.Delete(key)))
         return if ((result as? StoreResult.Ok)?.value is TxnOutcome.Applied) OrderOutcome.Done else OrderOutcome.Unavailable
     }
 
     private suspend fun change(
         machine: String,
-        step: (Assignment?, Shares) -> Step,
+        step: (Assignment?, Shards) -> Step,
     ): OrderOutcome {
         repeat(TRIES) {
             val table = (read() ?: return OrderOutcome.Unavailable).table
             val leaders = leaders() ?: return OrderOutcome.Unavailable
             if (table.of(machine) == KnownAssignment.Unknown) return OrderOutcome.Refused(Refusal.UNREADABLE.reason)
             val next =
-                when (val found = step(table.assignment(machine), SharesNow(table, leaders))) {
+                when (val found = step(table.assignment(machine), CurrentShards(table, leaders))) {
                     is Step.Refused -> return OrderOutcome.Refused(found.refusal.reason)
                     is Step.To -> found.next
                 }
             val content = table.blockWith(machine, next) ?: return OrderOutcome.Refused(Refusal.UNREADABLE.reason)
             val key = Keys.assignments(AssignmentTable.blockOf(machine))
-            val result = store.txn(listOf(Guard(key, table.markOf(machine))), listOf(KeyWrite.Put(key, AssignmentCodec.write(content))))
+            val result = store.txn(listOf(Precondition(key, table.revisionOf(machine))), listOf(KeyWrite.Put(key, AssignmentCodec.write(content))))
             val outcome = (result as? StoreResult.Ok)?.value ?: return OrderOutcome.Unavailable
             if (outcome is TxnOutcome.Applied) return OrderOutcome.Done
         }
@@ -143,22 +143,22 @@
     /** The controllers that lead, by share. */
     private suspend fun leaders(): Map<String, String>? {
         val found = HashMap<String, String>()
-        for (share in settings.shares) {
-            val entry = (store.get(LeaderKeys(share.name).leader) as? StoreResult.Ok ?: return null).value
-            (entry?.data?.get("member") as? String)?.let { found[share.name] = it }
+        for (shard in settings.shards) {
+            val entry = (store.get(LeaderKeys(shard.name).leader) as? StoreResult.Ok ?: return null).value
+            (entry?.data?.get("member") as? String)?.let { found[shard.name] = it }
         }
         return found
     }
 
-    private inner class SharesNow(
+    private inner class CurrentShards(
         private val table: AssignmentTable,
         private val leaders: Map<String, String>,
-    ) : Shares {
-        override fun isKnown(share: String) = settings.share(share) != null
+    ) : Shards {
+        override fun isKnown(shard: String) = settings.shard(shard) != null
 
-        override fun isLive(share: String) = share in leaders
+        override fun isLive(shard: String) = shard in leaders
 
-        override fun spare(share: String) = table.count(share) - (settings.share(share)?.floor ?: 0)
+        override fun spare(shard: String) = table.count(shard) - (settings.shard(shard)?.floor ?: 0)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/sharing/MoveTracing.kt
+++ b/src/main/kotlin/mintfield/app/sharding/MoveTracing.kt
@@ -1,4 +1,4 @@
-package mintfield.app.sharing
+package mintfield.app.sharding
 
 import mintfield.core.model.Settings
 import mintfield.core.ownership.MoveTracer
--- a/src/main/kotlin/mintfield/app/sharing/ShareLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -1,74 +1,74 @@
-package mintfield.app.sharing
+package mintfield.app.sharding
 
 import kotlinx.coroutines.delay
-import mintfield.app.Leader
+import mintfield.app.leader.Leader
 import mintfield.core.Scheduler
 import mintfield.core.Tuning
 import mintfield.core.ownership.AssignmentTransaction
-import mintfield.core.ownership.AwayTasks
-import mintfield.core.ownership.GuestAnswer
-import mintfield.core.ownership.GuestDesk
-import mintfield.core.ownership.GuestQuery
+import mintfield.core.ownership.ForeignTaskAnswer
+import mintfield.core.ownership.ForeignTaskQuery
+import mintfield.core.ownership.ForeignTaskResponder
 import mintfield.core.ownership.HandoverAgent
 import mintfield.core.ownership.LeaderCondition
 import mintfield.core.ownership.LoadMeter
 import mintfield.core.ownership.Rebalancer
-import mintfield.core.ownership.ShareLoad
-import mintfield.core.ownership.ShareOwnership
-import mintfield.core.ownership.ShareSettings
+import mintfield.core.ownership.RemoteTasks
+import mintfield.core.ownership.ShardLoad
+import mintfield.core.ownership.ShardOwnership
+import mintfield.core.ownership.ShardSettings
 import mintfield.core.ownership.WeightedClaims
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 import mintfield.io.ownership.AssignmentCodec
-import mintfield.io.store.Guard
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.LeaderKeys
+import mintfield.io.store.Precondition
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
 /** Asks the leader of a share that owns machines about tasks there; null without an answer. */
-fun interface GuestExchange {
+fun interface ForeignTaskClient {
     suspend fun ask(
-        share: String,
-        queries: List<GuestQuery>,
-    ): List<GuestAnswer>?
+        shard: String,
+        queries: List<ForeignTaskQuery>,
+    ): List<ForeignTaskAnswer>?
 }
 
 /** What a leader does besides scheduling when it leads one share of several: takes part in moves of machines. */
-class ShareLeader(
-    private val node: SharingNode,
-    val share: ShareSettings,
+class ShardLeader(
+    private val node: ShardingContext,
+    val shard: ShardSettings,
     private val loop: EventLoop,
     private val store: StoreClient,
-    private val exchange: GuestExchange,
+    private val exchange: ForeignTaskClient,
 ) {
-    val ownership = ShareOwnership(share.name, node.table, share.floor, share.ceiling) { node.foreignSpec(share, it) }
+    val ownership = ShardOwnership(shard.name, node.table, shard.floor, shard.ceiling) { node.foreignSpec(shard, it) }
     private lateinit var agent: HandoverAgent
-    private lateinit var away: AwayTasks
-    private lateinit var desk: GuestDesk
+    private lateinit var remoteTasks: RemoteTasks
+    private lateinit var responder: ForeignTaskResponder
     private lateinit var scheduler: Scheduler
     private lateinit var meter: LoadMeter
 
     /** Joins this to the [scheduler] of the leader. */
     fun attach(scheduler: Scheduler) {
         this.scheduler = scheduler
-        val rebalancer = Rebalancer(share.name, scheduler.cluster, node.table, node, node)
+        val rebalancer = Rebalancer(shard.name, scheduler.cluster, node.table, node, node)
         meter = LoadMeter(scheduler.cluster)
-        val names = node.settings.shares.map { it.name }
+        val names = node.settings.shards.map { it.name }
         agent =
-            HandoverAgent(ownership, node.table, scheduler, node, WeightedClaims(share.name, node.settings.shares, node::isLive), {
-                rebalancer.gifts(it, names)
+            HandoverAgent(ownership, node.table, scheduler, node, WeightedClaims(shard.name, node.settings.shards, node::isLive), {
+                rebalancer.transfers(it, names)
             }, node.tracer) { Log.info(it) }
-        away = AwayTasks(scheduler)
-        desk = GuestDesk(scheduler)
+        remoteTasks = RemoteTasks(scheduler)
+        responder = ForeignTaskResponder(scheduler)
     }
 
     /** How much work there is for its machines; null while that is not known yet. */
-    fun load(): ShareLoad? = if (scheduler.loaded) meter.measure() else null
+    fun load(): ShardLoad? = if (scheduler.loaded) meter.measure() else null
 
-    fun answer(queries: List<GuestQuery>): List<GuestAnswer> = queries.map { desk.answer(it, loop.nowMs()) }
+    fun answer(queries: List<ForeignTaskQuery>): List<ForeignTaskAnswer> = queries.map { responder.answer(it, loop.nowMs()) }
 
     /** Reads the assignments as they are now or later: a new leader acts by nothing older than its election. */
     suspend fun readAssignments() {
@@ -89,10 +89,10 @@
     ) {
         val writes = transaction.blocks.map { (number, block) -> KeyWrite.Put(Keys.assignments(number), AssignmentCodec.write(block.content)) }
         leader.wrote(writes.size)
-        when (val result = store.txn(guards(transaction), writes, urgent = true)) {
+        when (val result = store.txn(preconditions(transaction), writes, urgent = true)) {
             is StoreResult.Unknown -> {
                 agent.unanswered(transaction)
-                leader.kick()
+                leader.wake()
             }
             is StoreResult.Refused -> {
                 agent.refused(transaction)
@@ -102,11 +102,12 @@
         }
     }
 
-    private fun guards(transaction: AssignmentTransaction): List<Guard> {
+    private fun preconditions(transaction: AssignmentTransaction): List<Precondition> {
         val leaders = LinkedHashMap<String, Long>()
-        leaders[LeaderKeys(share.name).leader] = transaction.term
-        for (condition in transaction.conditions) if (condition is LeaderCondition.Leaderless) leaders[LeaderKeys(condition.share).leader] = 0
-        return leaders.map { Guard(it.key, it.value) } + transaction.blocks.map { (number, block) -> Guard(Keys.assignments(number), block.guardMark) }
+        leaders[LeaderKeys(shard.name).leader] = transaction.term
+        for (condition in transaction.conditions) if (condition is LeaderCondition.Leaderless) leaders[LeaderKeys(condition.shard).leader] = 0
+        return leaders.map { Precondition(it.key, it.value) } +
+            transaction.blocks.map { (number, block) -> Precondition(Keys.assignments(number), block.guardRevision) }
     }
 
     private suspend fun settled(
@@ -116,30 +117,30 @@
     ) {
         if (outcome is TxnOutcome.Applied) {
             agent.applied(transaction, outcome.revision, loop.nowMs())
-            return leader.kick()
+            return leader.wake()
         }
         agent.refused(transaction)
-        if (outcome is TxnOutcome.Failed && LeaderKeys(share.name).leader in outcome.keys) leader.checkLeaderKey()
+        if (outcome is TxnOutcome.Failed && LeaderKeys(shard.name).leader in outcome.keys) leader.checkLeaderKey()
         node.assignments.current()
     }
 
     /** Asks what becomes of this leader's tasks on other shares' machines, as long as [leader] leads. */
-    suspend fun followAwayTasks(leader: Leader) {
+    suspend fun followRemoteTasks(leader: Leader) {
         while (true) {
             delay(Tuning.ASSIGNMENT_STEP_MS)
             if (!leader.mayAct()) continue
-            val byOwner = away.due(loop.nowMs()).groupBy { node.shareFor(it.machine) }
+            val byOwner = remoteTasks.due(loop.nowMs()).groupBy { node.shardFor(it.machine) }
             for ((owner, queries) in byOwner) if (owner != null) queries.chunked(QUERIES_AT_ONCE).forEach { ask(owner, it) }
-            if (byOwner.isNotEmpty()) leader.kick()
+            if (byOwner.isNotEmpty()) leader.wake()
         }
     }
 
     private suspend fun ask(
         owner: String,
-        queries: List<GuestQuery>,
+        queries: List<ForeignTaskQuery>,
     ) {
         val answers = exchange.ask(owner, queries) ?: return
-        if (answers.size == queries.size) queries.zip(answers).forEach { (query, answer) -> away.answered(query, answer, loop.nowMs()) }
+        if (answers.size == queries.size) queries.zip(answers).forEach { (query, answer) -> remoteTasks.answered(query, answer, loop.nowMs()) }
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -8,16 +8,16 @@
 import mintfield.io.json.long
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
-import mintfield.io.store.Guard
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
+import mintfield.io.store.Precondition
 import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
 /**
- * Records this controller's generation in the state service, once in the life of the cluster, and reads those of the others when
+ * Records this controller's generation in the store, once in the life of the cluster, and reads those of the others when
  * something depends on them and not all are known; in the ordinary course nothing more is asked.
  */
 class VersionRecords(
@@ -25,14 +25,14 @@
     private val store: StoreClient,
     private val loop: EventLoop,
 ) {
-    private val versions = ControllerVersions(settings.siblings.map { it.member })
+    private val versions = ControllerVersions(settings.peers.map { it.member })
     private var readAtMs = Long.MIN_VALUE / 2
 
-    /** A sibling's note names its generation. */
-    fun heard(
+    /** A peer's note names its generation. */
+    fun announced(
         member: String,
         generation: Int,
-    ) = versions.heard(member, generation)
+    ) = versions.announced(member, generation)
 
     /** Records the generation of this program, unless that has been done; tries until it has succeeded. */
     suspend fun record() {
@@ -44,8 +44,8 @@
         val entry = store.get(key)
         if (entry !is StoreResult.Ok) return false
         if (entry.value?.data?.long(Records.GENERATION) == Generation.CURRENT.toLong()) return true
-        val guard = Guard(key, entry.value?.mark ?: 0)
-        val result = store.txn(listOf(guard), listOf(KeyWrite.Put(key, Records.generation(Generation.CURRENT))))
+        val precondition = Precondition(key, entry.value?.revision ?: 0)
+        val result = store.txn(listOf(precondition), listOf(KeyWrite.Put(key, Records.generation(Generation.CURRENT))))
         return (result as? StoreResult.Ok)?.value is TxnOutcome.Applied
     }
 
--- a/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
+++ b/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * The state service's protocol over a map in memory: revisions, guards, leases and watches. The training run of the class-data
+ * The store's protocol over a map in memory: revisions, guards, leases and watches. The training run of the class-data
  * archive and the tests use it; it keeps nothing and enforces no rates. To be called on [loop] only, but for [plant].
  */
 class InMemoryStateService(
@@ -23,13 +23,13 @@
 ) {
     private class Item(
         val data: Any?,
-        val mark: Long,
+        val revision: Long,
         val lease: Long?,
     )
 
     /** One change as watches tell it; null [data] is a deletion. */
     private class Logged(
-        val mark: Long,
+        val revision: Long,
         val key: String,
         val data: Any?,
     )
@@ -48,7 +48,7 @@
     @Volatile var down = false
 
     /** Gives no answer at all, as if it were behind a cut. */
-    @Volatile var silent = false
+    @Volatile var unresponsive = false
 
     /** Submissions that one transaction may hold; a larger one is refused as too many. */
     @Volatile var mostSubmissions = Int.MAX_VALUE
@@ -78,7 +78,7 @@
     suspend fun handle(r: HttpMessage): Response {
         expire()
         if (down) return Response.error(503, "trouble")
-        while (silent) delay(SILENT_STEP_MS)
+        while (unresponsive) delay(UNRESPONSIVE_STEP_MS)
         val path = r.second.substringBefore('?')
         val query =
             r.second
@@ -97,7 +97,7 @@
             else -> {
                 val key = path.removePrefix("/store/")
                 val item = items[key] ?: return Response(404, """{"ledger":$revision}""".toByteArray())
-                ok("""{"k":"$key","data":${text(item.data)},"mark":${item.mark},"tenancy":${item.lease}}""")
+                ok("""{"k":"$key","data":${text(item.data)},"mark":${item.revision},"tenancy":${item.lease}}""")
             }
         }
     }
@@ -150,7 +150,7 @@
                 .asList()
                 .orEmpty()
                 .map { it.asMap()!! }
-                .filter { g -> (items[g.string("k")]?.mark ?: 0) != g.long("mark") }
+                .filter { g -> (items[g.string("k")]?.revision ?: 0) != g.long("mark") }
         if (failed.isNotEmpty()) {
             val names = failed.joinToString(",") { "\"${it.string("k")}\"" }
             return Response(409, """{"failed":[$names],"ledger":$revision}""".toByteArray())
@@ -175,7 +175,7 @@
         val prefix = query.getValue("starts")
 
         fun news(): List<Logged> {
-            val found = log.binarySearch { if (it.mark <= after) -1 else 1 }
+            val found = log.binarySearch { if (it.revision <= after) -1 else 1 }
             return log.subList(-found - 1, log.size).filter { it.key.startsWith(prefix) }
         }
         withTimeoutOrNull(query.getValue("waitMs").toLong()) {
@@ -183,7 +183,13 @@
         }
         val entries =
             news().joinToString(",") {
-                if (it.data == null) """{"delete":"${it.key}","mark":${it.mark}}""" else """{"write":"${it.key}","data":${text(it.data)},"mark":${it.mark}}"""
+                if (it.data ==
+                    null
+                ) {
+                    """{"delete":"${it.key}","mark":${it.revision}}"""
+                } else {
+                    """{"write":"${it.key}","data":${text(it.data)},"mark":${it.revision}}"""
+                }
             }
         return ok("""{"ledger":$revision,"log":[$entries]}""")
     }
@@ -191,7 +197,7 @@
     private fun list(query: Map<String, String>): Response {
         val found = items.entries.filter { it.key.startsWith(query.getValue("starts")) && it.key > (query["after"] ?: "") }
         val page = found.take(query.getValue("most").toInt())
-        val entries = page.joinToString(",") { """{"k":"${it.key}","data":${text(it.value.data)},"mark":${it.value.mark}}""" }
+        val entries = page.joinToString(",") { """{"k":"${it.key}","data":${text(it.value.data)},"mark":${it.value.revision}}""" }
         return ok("""{"entries":[$entries],"hasNext":${found.size > page.size},"ledger":$revision}""")
     }
 
@@ -206,7 +212,7 @@
     private companion object {
         /** Milliseconds that any renewed lease gets; the only lease renewed is the leader's. */
         const val RENEWED_MS = 3_500L
-        const val SILENT_STEP_MS = 50L
+        const val UNRESPONSIVE_STEP_MS = 50L
         const val LEASE_CHECK_MS = 200L
     }
 }
--- a/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import mintfield.app.Node
+import mintfield.app.Controller
 import mintfield.io.http.HttpClient
 import mintfield.io.http.HttpMessage
 import mintfield.io.http.HttpServer
@@ -24,7 +24,7 @@
 /**
  * The training run for the build's class-data archive: two controllers on loopback elect a leader, serve users and a worker,
  * and one of them is replaced by a process that replays. What this run does not reach is loaded from the jar at run time, which
- * on a small controller costs milliseconds for each class, most of them in a take-over.
+ * on a small controller costs milliseconds for each class, most of them in a failover.
  */
 class WarmUp {
     private val loop = EventLoop()
@@ -59,19 +59,19 @@
         handler: suspend (HttpMessage) -> Response,
     ) = HttpServer(loop, scope, group, CONNECTIONS, handler).start(InetSocketAddress(LOOPBACK, port))
 
-    private fun start(member: Member): Node {
+    private fun start(member: Member): Controller {
         val file = File.createTempFile("mintfield", ".toml")
         file.deleteOnExit()
         file.writeText(settings(member))
-        val node = Node(SettingsFile.read(file.path))
+        val node = Controller(SettingsFile.read(file.path))
         Thread({ node.run() }, member.name).also { it.isDaemon = true }.start()
         return node
     }
 
     private suspend fun use() {
         delay(ELECTION_MS)
-        scope.launch { reports(FIRST) }
-        scope.launch { reports(SECOND) }
+        scope.launch { heartbeats(FIRST) }
+        scope.launch { heartbeats(SECOND) }
         for (member in listOf(FIRST, SECOND)) {
             val client = client(member)
             call(client, "GET", "/ready")
@@ -86,10 +86,10 @@
     }
 
     /** Reports as a worker sends them; the controller that does not lead relays them. */
-    private suspend fun reports(member: Member) {
+    private suspend fun heartbeats(member: Member) {
         val client = client(member)
         while (true) {
-            val reply = client.call("POST", "/checkin", worker.report(ports[WORKER]), CALL_MS)
+            val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_MS)
             if (reply is Reply.Answer && reply.status == OK) worker.execute(reply.json)
             delay(REPORT_MS)
         }
@@ -125,16 +125,16 @@
     )
 
     private fun settings(member: Member): String {
-        val sibling = if (member === FIRST) SECOND else FIRST
+        val peer = if (member === FIRST) SECOND else FIRST
         return """
         member = "${member.name}"
         zone = "a"
         client_listen = "$LOOPBACK:${ports[member.clientPort]}"
         internal_addr = "$LOOPBACK:${ports[member.peerPort]}"
         [[siblings]]
-        member = "${sibling.name}"
+        member = "${peer.name}"
         zone = "a"
-        address = "$LOOPBACK:${ports[sibling.peerPort]}"
+        address = "$LOOPBACK:${ports[peer.peerPort]}"
         [outside]
         cloud = "$LOOPBACK:${ports[CLOUD]}"
         state = "$LOOPBACK:${ports[STORE]}"
@@ -156,7 +156,7 @@
         val FIRST = Member("a", 3, 4)
         val SECOND = Member("b", 5, 6)
 
-        /** Milliseconds: an election, a poll, a call's patience, between reports, and the two parts of the run. */
+        /** Milliseconds: an election, a poll, a call's patience, between heartbeats, and the two parts of the run. */
         const val ELECTION_MS = 800L
         const val POLL_MS = 400L
         const val CALL_MS = 900L
@@ -168,7 +168,7 @@
             """{"breeds":[{"sku":"box","vcpus":8.0,"cards":0.0,"memoryGb":64.0,"cacheGb":50.0,"fetchGbPerS":1.0,"price":1.0,
             "lowPrice":0.3,"bootS":30.0,"fields":["a"]}]}"""
 
-        /** Jobs by number: the last is too large to end before the take-over. */
+        /** Jobs by number: the last is too large to end before the failover. */
         val JOBS = mapOf("wk-000001" to 12, "wk-000002" to 12, "wk-000003" to 900)
 
         fun job(
@@ -218,10 +218,10 @@
         val id: String,
         val attempt: Long,
     ) {
-        var reports = 0
+        var heartbeats = 0
     }
 
-    private var tally = 0L
+    private var sequence = 0L
     private var termSeen = 0L
     private val tasks = LinkedHashMap<String, Task>()
 
@@ -235,11 +235,11 @@
 
     fun commands(request: HttpMessage): Response {
         execute(Json.parseObject(request.body).orEmpty())
-        return Response(OK, report(0))
+        return Response(OK, heartbeat(0))
     }
 
-    fun report(port: Int): ByteArray {
-        tally++
+    fun heartbeat(port: Int): ByteArray {
+        sequence++
         return Json.obj {
             writeStringField("plot", MACHINE)
             writeStringField("address", "127.0.0.1:$port")
@@ -247,7 +247,7 @@
             writeStringField("field", "a")
             writeBooleanField("gleaning", false)
             writeNumberField("season", 1)
-            writeNumberField("tally", tally)
+            writeNumberField("tally", sequence)
             writeNumberField("staff", termSeen)
             writeNullField("reclaimS")
             writeArrayFieldStart("pieces")
@@ -255,8 +255,8 @@
                 writeStartObject()
                 writeStringField("piece", task.id)
                 writeNumberField("sowing", task.attempt)
-                writeStringField("stage", if (++task.reports < ENDS_AFTER) "running" else "ended")
-                if (task.reports >= ENDS_AFTER) writeStringField("cause", "done")
+                writeStringField("stage", if (++task.heartbeats < ENDS_AFTER) "running" else "ended")
+                if (task.heartbeats >= ENDS_AFTER) writeStringField("cause", "done")
                 writeEndObject()
             }
             writeEndArray()
@@ -267,7 +267,7 @@
         const val MACHINE = "m-000001"
         private const val OK = 200
 
-        /** Reports of a task until it has ended. */
+        /** Heartbeats of a task until it has ended. */
         private const val ENDS_AFTER = 4
     }
 }
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -21,7 +21,7 @@
     /** Term at the election; later ones of the same leader are higher. */
     val firstTerm: Long,
     val ownership: Ownership = WholeFleet,
-    /** What the state service permits now. */
+    /** What the store permits now. */
     private val stateLimits: StateLimitsInForce = StateLimitsInForce(settings),
     private val log: (String) -> Unit,
 ) {
@@ -32,7 +32,7 @@
 
     val limits: StateLimits get() = stateLimits.current
     val timings = Timings(settings)
-    val bounds = SocketBounds(settings)
+    val bounds = ConnectionLimits(settings)
     var term = firstTerm
     val runTimes = RunTimes()
     val types = LinkedHashMap<String, MachineType>()
@@ -43,10 +43,10 @@
     private var attemptNumber = 0L
 
     /** Jobs that have failed and not succeeded. */
-    val troubled = LinkedHashSet<Job>()
+    val unprovenJobs = LinkedHashSet<Job>()
 
-    /** Jobs to be withdrawn with a predecessor. */
-    val doomed = LinkedHashSet<Job>()
+    /** Jobs to be cancelled with a predecessor. */
+    val cancelledByDependency = LinkedHashSet<Job>()
 
     /** Set when a job has become ready: its round need not wait for the next one that is due. */
     var roundWanted = false
@@ -66,7 +66,7 @@
     fun token(m: Machine): Long = maxOf(term, m.epoch)
 
     /** Whether [m] has seen a token that nobody but this leader has given it, so that nobody else has renewed its lease since. */
-    fun heardOurs(m: Machine): Boolean = m.termSeen >= maxOf(firstTerm, m.epoch)
+    fun hasSeenOurToken(m: Machine): Boolean = m.termSeen >= maxOf(firstTerm, m.epoch)
 
     fun usage(team: String): Usage = usage.getOrPut(team) { Usage() }
 
@@ -107,9 +107,9 @@
         index: Int,
         number: Long,
         machine: Machine,
-        season: Long,
+        incarnation: Long,
     ): Attempt {
-        val a = Attempt(job, index, number, machine, season)
+        val a = Attempt(job, index, number, machine, incarnation)
         job.put(a)
         machine.occupy(a)
         val used = usage(job.spec.team)
@@ -132,7 +132,7 @@
         used.cpus = maxOf(0.0, used.cpus - a.job.spec.cpus)
         used.gpus = maxOf(0.0, used.gpus - a.job.spec.gpus)
         // The record still names the old place. Left so, a successor would wait for proof from a machine long gone.
-        if (a.job.staleSinceMs == 0L) a.job.staleSinceMs = nowMs
+        if (a.job.unwrittenSinceMs == 0L) a.job.unwrittenSinceMs = nowMs
         if (proof != DONE &&
             proof != DESCRIBED_ANEW &&
             proof != NEVER_SENT
@@ -141,16 +141,16 @@
         }
     }
 
-    /** Wants [a] gone: at once if it was never sent, else by halt and proof. [quietly]: a line tells of all its job already. */
+    /** Wants [a] gone: at once if it was never sent, else by stop and proof. [quietly]: a line tells of all its job already. */
     fun stop(
         a: Attempt,
         nowMs: Long,
-        why: String,
+        reason: String,
         quietly: Boolean = false,
     ) {
         if (!a.live || a.state == AttemptState.STOPPING) return
-        if (!a.everSent) return release(a, nowMs, if (quietly) NEVER_SENT else "never sent; $why")
-        if (!quietly) log("stopping ${a.job.spec.id}/${a.index} attempt ${a.number} on ${a.machine.id}: $why")
+        if (!a.startSent) return release(a, nowMs, if (quietly) NEVER_SENT else "never sent; $reason")
+        if (!quietly) log("stopping ${a.job.spec.id}/${a.index} attempt ${a.number} on ${a.machine.id}: $reason")
         a.moveTo(AttemptState.STOPPING, nowMs)
     }
 
@@ -160,7 +160,7 @@
         nowMs: Long,
     ) {
         if (!job.setDone(index)) return
-        if (job.staleSinceMs == 0L) job.staleSinceMs = nowMs
+        if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
     }
 
     fun taskId(a: Attempt) = TaskId(a.job.spec.id, a.index)
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -3,28 +3,28 @@
 import mintfield.core.dependencies.InheritedUrgency
 import mintfield.core.fleet.FleetManager
 import mintfield.core.fleet.Machine
-import mintfield.core.fleet.SilentZones
+import mintfield.core.fleet.ZoneFencing
 import mintfield.core.jobs.AttemptState
 import mintfield.core.jobs.FailureAttribution
 import mintfield.core.jobs.Job
-import mintfield.core.jobs.RoundLedger
+import mintfield.core.jobs.PlanJournal
 import mintfield.core.model.Shape
-import mintfield.core.placement.Round
+import mintfield.core.placement.SchedulingRound
 
 /** Decides what the leader writes next, and takes in what became of it. Runs the rounds of placement whose plans are written. */
 class CommitPlanner(
     private val cluster: Cluster,
     private val fleet: FleetManager,
-    private val disowning: SilentZones,
-    private val ledger: RoundLedger,
-    private val blame: FailureAttribution,
+    private val zoneFencing: ZoneFencing,
+    private val planJournal: PlanJournal,
+    private val failureAttribution: FailureAttribution,
     private val inheritedUrgency: InheritedUrgency,
     /** Told of a job that is finished or swept. */
     private val ended: (String, Long) -> Unit,
     private val log: (String) -> Unit,
 ) {
-    private val round = Round(cluster, log)
-    private val hintBlocks = HintBlocks(cluster)
+    private val round = SchedulingRound(cluster, log)
+    private val learnedStateBlocks = LearnedStateBlocks(cluster)
     private var lastRaiseMs = Machine.NEVER
     private var raiseNow = false
     private var lastRoundMs = Machine.NEVER
@@ -64,32 +64,32 @@
         if (raiseNow || (cluster.raiseWanted && nowMs - lastRaiseMs >= Tuning.RAISE_TERM_GAP_MS)) {
             return Commit(cluster.term, listOf(Write.RaiseTerm))
         }
-        disowning.look(nowMs, wallMs)
+        zoneFencing.look(nowMs, wallMs)
         val scarce = ops < cluster.limits.txnOps * Tuning.PLENTY_SHARE
         place(nowMs, wallMs, scarce)
         val batch = Batch(ops)
-        addDisowning(batch)
+        addZoneFences(batch)
         addCancelledSuccessors(batch)
         addFinished(batch)
-        ledger.refresh(nowMs)
-        batch.left -= ledger.add(batch.writes, batch.left, if (scarce) Tuning.DONE_BATCH_BUSY_MS else Tuning.DONE_BATCH_MS, nowMs)
-        addRentals(batch)
+        planJournal.refresh(nowMs)
+        batch.left -= planJournal.add(batch.writes, batch.left, if (scarce) Tuning.DONE_BATCH_BUSY_MS else Tuning.DONE_BATCH_MS, nowMs)
+        addScaleOutIntents(batch)
         // While users wait for their writes, what is left of ended jobs may wait for them.
-        if (!yielding || ledger.leftOver.size >= MOST_LEFT_OVER) addSweeps(batch, nowMs)
+        if (!yielding || planJournal.obsoleteRounds.size >= MAX_OBSOLETE_ROUNDS) addGarbageCollection(batch, nowMs)
         return if (batch.writes.isEmpty()) null else Commit(cluster.term, batch.writes)
     }
 
     /** Machines wait for the one, and a successor's proof hangs on the other. */
-    private fun addDisowning(batch: Batch) {
-        batch.addAll(disowning.unwanted.asSequence()) { Write.Own(it) }
-        batch.addAll(disowning.wanted.asSequence()) { Write.Disown(it) }
+    private fun addZoneFences(batch: Batch) {
+        batch.addAll(zoneFencing.fencesToLift.asSequence()) { Write.LiftZoneFence(it) }
+        batch.addAll(zoneFencing.fencesToWrite.asSequence()) { Write.FenceZone(it) }
     }
 
     /** Their predecessors' users have been told: within `cancel_s` these must say so too. */
     private fun addCancelledSuccessors(batch: Batch) {
-        for (job in cluster.doomed) {
+        for (job in cluster.cancelledByDependency) {
             if (batch.left < FINISH_COST && batch.writes.isNotEmpty()) return
-            if (job.withdrawnInRecord || job.finishing || job.unreadable || job.begun) continue
+            if (job.cancellationRecorded || job.finishing || job.unreadable || job.begun) continue
             batch.add(Write.CancelSuccessor(job), FINISH_COST)
         }
     }
@@ -97,29 +97,29 @@
     private fun addFinished(batch: Batch) {
         for (job in cluster.jobs.values) {
             if (batch.left <= 0) return
-            if (!job.allDone || job.unreadable || job.finishing || job.withdrawn || job.activeAttempts.isNotEmpty()) continue
+            if (!job.allDone || job.unreadable || job.finishing || job.cancelled || job.activeAttempts.isNotEmpty()) continue
             if (batch.left < FINISH_COST && batch.writes.isNotEmpty()) continue
-            batch.add(Write.Finish(job), FINISH_COST)
+            batch.add(Write.FinishJob(job), FINISH_COST)
         }
     }
 
-    private fun addRentals(batch: Batch) {
-        batch.addAll(fleet.wishes.asSequence().take(1)) { Write.Intend(it) }
+    private fun addScaleOutIntents(batch: Batch) {
+        batch.addAll(fleet.wantedIntents.asSequence().take(1)) { Write.WriteIntent(it) }
         // An intent left behind is carried out again by the next leader, at the cloud's slow pace.
-        batch.addAll(fleet.spentIntents.asSequence()) { Write.DropIntent(it) }
+        batch.addAll(fleet.completedIntents.asSequence()) { Write.DeleteIntent(it) }
     }
 
-    private fun addSweeps(
+    private fun addGarbageCollection(
         batch: Batch,
         nowMs: Long,
     ) {
         val ended =
             cluster.jobs.values
                 .asSequence()
-                .filter { it.withdrawnInRecord && it.activeAttempts.isEmpty() && !it.finishing }
-        batch.addAll(ended) { Write.Sweep(it) }
-        if (batch.left > 0) hintBlocks.due(nowMs)?.let { batch.add(it) }
-        ledger.leftOver.take(maxOf(0, batch.left - SWEEP_RESERVE)).forEach { batch.add(Write.SweepRound(it)) }
+                .filter { it.cancellationRecorded && it.activeAttempts.isEmpty() && !it.finishing }
+        batch.addAll(ended) { Write.DeleteJobRecord(it) }
+        if (batch.left > 0) learnedStateBlocks.due(nowMs)?.let { batch.add(it) }
+        planJournal.obsoleteRounds.take(maxOf(0, batch.left - GC_RESERVE)).forEach { batch.add(Write.DeleteRound(it)) }
     }
 
     /** A round, if one is due. Replicas do not wait for the next one of arrays, and do not bring it forward either. */
@@ -134,12 +134,12 @@
             lastReplicaRoundMs = nowMs
             cluster.roundWanted = false
             inheritedUrgency.refresh(nowMs, wallMs)
-            blame.look(nowMs)
+            failureAttribution.look(nowMs)
             round.run(nowMs, wallMs, most)
             return
         }
         if (nowMs - lastReplicaRoundMs < Tuning.ROUND_MS) return
-        if (cluster.jobs.values.none { it.spec.shape == Shape.SERVICE && !it.withdrawn && nowMs >= it.notBeforeMs && it.askable > 0 }) return
+        if (cluster.jobs.values.none { it.spec.shape == Shape.SERVICE && !it.cancelled && nowMs >= it.notBeforeMs && it.schedulableTasks > 0 }) return
         // What finds no room now will hardly find any before the next round of all.
         lastReplicaRoundMs = if (round.run(nowMs, wallMs, most, replicasOnly = true) > 0) nowMs else nowMs + Tuning.ARRAY_ROUND_MS
     }
@@ -153,14 +153,14 @@
         when (result) {
             is CommitResult.Done -> commit.writes.forEach { written(it, result.revision, nowMs) }
             is CommitResult.Conflict -> {
-                ledger.putBack(commit.writes, nowMs)
-                result.jobs.forEach { id -> cluster.jobs[id]?.let { conflicted(it, commit.marks[id], nowMs) } }
+                planJournal.putBack(commit.writes, nowMs)
+                result.jobs.forEach { id -> cluster.jobs[id]?.let { conflicted(it, commit.guardRevisions[id], nowMs) } }
             }
-            CommitResult.Refused -> ledger.putBack(commit.writes, nowMs)
+            CommitResult.Refused -> planJournal.putBack(commit.writes, nowMs)
             CommitResult.Unknown -> {
-                ledger.putBack(commit.writes, nowMs)
+                planJournal.putBack(commit.writes, nowMs)
                 // It may be there all the same; its key must go in the end, whether or not it is.
-                commit.writes.forEach { if (it is Write.RecordRound) ledger.leftOver.add(it.key) }
+                commit.writes.forEach { if (it is Write.RecordRound) planJournal.obsoleteRounds.add(it.key) }
                 raiseNow = true
             }
         }
@@ -169,11 +169,11 @@
     /** The job changed under us, by its user's abort; the view will tell. What was never written was never sent. */
     private fun conflicted(
         job: Job,
-        guardedMark: Long?,
+        guardedRevision: Long?,
         nowMs: Long,
     ) {
         // The view may have told of the change before the answer came; then nothing else will.
-        if (job.mark != guardedMark) return
+        if (job.revision != guardedRevision) return
         job.activeAttempts.filter { it.state == AttemptState.PLANNING }.forEach { cluster.stop(it, nowMs, "the job changed") }
         job.finishing = true
     }
@@ -184,25 +184,25 @@
         nowMs: Long,
     ) {
         when (write) {
-            is Write.RecordRound -> ledger.written(write, revision, nowMs)
-            is Write.SweepRound -> ledger.leftOver.remove(write.key)
-            is Write.Finish -> finished(write.job, nowMs)
+            is Write.RecordRound -> planJournal.written(write, revision, nowMs)
+            is Write.DeleteRound -> planJournal.obsoleteRounds.remove(write.key)
+            is Write.FinishJob -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
-                log("${write.job.id} is withdrawn with a job that it depends on")
+                log("${write.job.id}: cancelled with a predecessor")
                 ended(write.job.id, nowMs)
             }
-            is Write.Sweep -> {
-                log("${write.job.spec.id} is swept")
+            is Write.DeleteJobRecord -> {
+                log("${write.job.spec.id}: record deleted")
                 ended(write.job.spec.id, nowMs)
             }
-            is Write.Intend -> {
-                fleet.wishes.remove(write.intent)
-                fleet.intents[write.intent.plea] = write.intent
+            is Write.WriteIntent -> {
+                fleet.wantedIntents.remove(write.intent)
+                fleet.intents[write.intent.idempotencyKey] = write.intent
             }
-            is Write.Remember -> {}
-            is Write.Disown -> disowning.written(write.record)
-            is Write.Own -> disowning.deleted(write.key)
-            is Write.DropIntent -> fleet.spentIntents.remove(write.plea)
+            is Write.SaveLearnedState -> {}
+            is Write.FenceZone -> zoneFencing.written(write.record)
+            is Write.LiftZoneFence -> zoneFencing.deleted(write.key)
+            is Write.DeleteIntent -> fleet.completedIntents.remove(write.idempotencyKey)
             Write.RaiseTerm -> raised(revision, nowMs)
         }
     }
@@ -212,11 +212,11 @@
         nowMs: Long,
     ) {
         job.finishing = true
-        val places = seconds(job.lastPlanAtMs - job.seenAtMs)
+        val places = seconds(job.lastPlanAtMs - job.firstSeenAtMs)
         val images = seconds(maxOf(0, job.lastRunAtMs - job.lastPlanAtMs))
         val run = seconds(nowMs - maxOf(job.lastRunAtMs, job.lastPlanAtMs))
         log(
-            "${job.id} (${job.spec.jobClass}, ${job.spec.tasks} tasks) is done: $places s to its last place, $images s to its last start, $run s from there",
+            "${job.id} (${job.spec.jobClass}, ${job.spec.tasks} tasks): done, $places s until its last task was placed, $images s until that task ran, $run s to its end",
         )
         ended(job.spec.id, nowMs)
     }
@@ -245,9 +245,9 @@
         const val FINISH_COST = 2
 
         /** Records that may wait to be swept while users wait; more would cost a successor too much time to read. */
-        const val MOST_LEFT_OVER = 300
+        const val MAX_OBSOLETE_ROUNDS = 300
 
         /** Writes of a transaction that are kept from sweeping, as something urgent may come at any moment. */
-        const val SWEEP_RESERVE = 6
+        const val GC_RESERVE = 6
     }
 }
--- a/src/main/kotlin/mintfield/core/Effects.kt
+++ b/src/main/kotlin/mintfield/core/Effects.kt
@@ -1,14 +1,14 @@
 package mintfield.core
 
-import mintfield.core.fleet.DisownRecord
+import mintfield.core.fleet.ZoneFence
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.RoundRecord
-import mintfield.core.model.Order
+import mintfield.core.model.WorkerCommand
 
 /** One change that the leader wants in the store. */
 sealed interface Write {
     /** Jobs that must not have changed for it to be carried out. */
-    val guarded: Collection<Job> get() = emptyList()
+    val guardedJobs: Collection<Job> get() = emptyList()
 
     /** What one round decided and what was reported since the last one, of all [jobs] that it touches. */
     data class RecordRound(
@@ -16,56 +16,56 @@
         val record: RoundRecord,
         val jobs: List<Job>,
     ) : Write {
-        override val guarded get() = jobs
+        override val guardedJobs get() = jobs
     }
 
     /** A round record that tells nothing any more. */
-    data class SweepRound(
+    data class DeleteRound(
         val key: String,
     ) : Write
 
     /** The job is done: its final state replaces it and its records. */
-    data class Finish(
+    data class FinishJob(
         val job: Job,
     ) : Write {
-        override val guarded get() = listOf(job)
+        override val guardedJobs get() = listOf(job)
     }
 
-    /** A predecessor of the job is withdrawn, and it is withdrawn with it. It has never started, so its record goes at once. */
+    /** A predecessor of the job is cancelled, and it is cancelled with it. It has never started, so its record goes at once. */
     data class CancelSuccessor(
         val job: Job,
     ) : Write {
-        override val guarded get() = listOf(job)
+        override val guardedJobs get() = listOf(job)
     }
 
-    /** Everything of a withdrawn job is gone from the machines: its records go. */
-    data class Sweep(
+    /** Everything of a cancelled job is gone from the machines: its records go. */
+    data class DeleteJobRecord(
         val job: Job,
     ) : Write {
-        override val guarded get() = listOf(job)
+        override val guardedJobs get() = listOf(job)
     }
 
-    data class Intend(
-        val intent: RentIntent,
+    data class WriteIntent(
+        val intent: ScaleOutIntent,
     ) : Write
 
-    data class DropIntent(
-        val plea: String,
+    data class DeleteIntent(
+        val idempotencyKey: String,
     ) : Write
 
     /** What the leader has learned, or one [block] of it if it takes several values. */
-    data class Remember(
+    data class SaveLearnedState(
         val block: Int,
-        val hints: Hints,
+        val learnedState: LearnedState,
     ) : Write
 
     /** The leader's word on machines that it does not answer any more. */
-    data class Disown(
-        val record: DisownRecord,
+    data class FenceZone(
+        val record: ZoneFence,
     ) : Write
 
     /** That word does not hold any more. */
-    data class Own(
+    data class LiftZoneFence(
         val key: String,
     ) : Write
 
@@ -73,8 +73,8 @@
     data object RaiseTerm : Write
 }
 
-data class RentIntent(
-    val plea: String,
+data class ScaleOutIntent(
+    val idempotencyKey: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
@@ -87,7 +87,7 @@
     val writes: List<Write>,
 ) {
     /** Revisions of the jobs that it touches, as known when it was made: they guard it, whatever is heard before its answer. */
-    val marks: Map<String, Long> = writes.flatMap { it.guarded }.associate { it.id to it.mark }
+    val guardRevisions: Map<String, Long> = writes.flatMap { it.guardedJobs }.associate { it.id to it.revision }
 }
 
 sealed interface CommitResult {
@@ -112,16 +112,16 @@
     val machine: String,
     val address: String,
     val term: Long,
-    val season: Long,
-    val orders: List<Order>,
+    val incarnation: Long,
+    val commands: List<WorkerCommand>,
 )
 
 sealed interface CloudCall {
-    data class Rent(
-        val intent: RentIntent,
+    data class Provision(
+        val intent: ScaleOutIntent,
     ) : CloudCall
 
-    data class Return(
+    data class Release(
         val machines: List<String>,
     ) : CloudCall
 
--- a/src/main/kotlin/mintfield/core/FleetRoom.kt
+++ b/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
@@ -6,10 +6,10 @@
  * Whether a controller's sockets and memory suffice for the fleet that its operators expect. What is short is said at the start,
  * when something can still be done about it; how it is met is said with it.
  */
-class FleetRoom(
+class FleetCapacityCheck(
     private val settings: Settings,
 ) {
-    private val bounds = SocketBounds(settings)
+    private val bounds = ConnectionLimits(settings)
 
     /** One line for each thing that is short; none if the operators have not said how large the fleet is. */
     fun shortcomings(heapBytes: Long): List<String> {
--- a/src/main/kotlin/mintfield/core/HintBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -1,41 +1,41 @@
 package mintfield.core
 
 import mintfield.core.fleet.Machine
-import mintfield.core.jobs.Belief
+import mintfield.core.jobs.JobHealth
 
 /**
  * When what the leader has learned is written, and in how many values. The images of a few hundred machines fit one; those of
  * thousands go into several, one at a time, so that they take no more of the permitted writes at once than a small fleet's.
  */
-class HintBlocks(
+class LearnedStateBlocks(
     private val cluster: Cluster,
 ) {
-    private var blocks: List<Hints> = emptyList()
+    private var blocks: List<LearnedState> = emptyList()
     private var next = 0
     private var lastMs = Machine.NEVER
 
     /** The write that is due now, if any. */
-    fun due(nowMs: Long): Write.Remember? {
+    fun due(nowMs: Long): Write.SaveLearnedState? {
         if (nowMs - lastMs < pauseMs()) return null
         lastMs = nowMs
         if (next >= blocks.size) {
             blocks = pack(learned(), (cluster.limits.valueKb * VALUE_BYTES_USED).toInt())
             next = 0
         }
-        return Write.Remember(next, blocks[next]).also { next++ }
+        return Write.SaveLearnedState(next, blocks[next]).also { next++ }
     }
 
     private fun pauseMs(): Long = maxOf(Tuning.HINTS_LEAST_MS, Tuning.HINTS_MS / maxOf(1, blocks.size))
 
-    private fun learned(): Hints {
+    private fun learned(): LearnedState {
         val sizes = HashMap<String, Double>()
         cluster.machines.values.forEach { sizes.putAll(it.cachedImages) }
         val images =
             cluster.machines.values
                 .filter { it.cachedImages.isNotEmpty() }
                 .associate { it.id to it.cachedImages.keys.toList() }
-        val doubted = cluster.troubled.filter { it.belief == Belief.DOUBTED }.associate { it.id to it.trials }
-        return Hints(sizes, images, cluster.runTimes.ratios.toMap(), doubted)
+        val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.probes }
+        return LearnedState(sizes, images, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
 
     companion object {
@@ -46,16 +46,16 @@
         private const val NAME_FRAME = 4
         private const val SIZE_BYTES = 12
 
-        /** Parts of [hints] whose machines take [maxBytes] each. The first has what is not of single machines. */
+        /** Parts of [learnedState] whose machines take [maxBytes] each. The first has what is not of single machines. */
         fun pack(
-            hints: Hints,
+            learnedState: LearnedState,
             maxBytes: Int,
-        ): List<Hints> {
+        ): List<LearnedState> {
             val groups = ArrayList<Map<String, List<String>>>()
             var group = LinkedHashMap<String, List<String>>()
             var bytes = 0
             var named = HashSet<String>()
-            for ((machine, images) in hints.machineImages) {
+            for ((machine, images) in learnedState.machineImages) {
                 val size = machine.length + NAME_FRAME + images.sumOf { it.length + NAME_FRAME + if (it in named) 0 else it.length + SIZE_BYTES }
                 if (bytes + size > maxBytes && group.isNotEmpty()) {
                     groups.add(group)
@@ -68,17 +68,17 @@
                 bytes += size
             }
             groups.add(group)
-            return groups.mapIndexed { i, machines -> part(hints, machines, first = i == 0) }
+            return groups.mapIndexed { i, machines -> part(learnedState, machines, first = i == 0) }
         }
 
         private fun part(
-            hints: Hints,
+            learnedState: LearnedState,
             machines: Map<String, List<String>>,
             first: Boolean,
-        ): Hints {
+        ): LearnedState {
             val named = machines.values.flatten().toSet()
-            val sizes = hints.imageGb.filterKeys { it in named }
-            return if (first) Hints(sizes, machines, hints.logRatio, hints.doubted) else Hints(sizes, machines, emptyMap())
+            val sizes = learnedState.imageGb.filterKeys { it in named }
+            return if (first) LearnedState(sizes, machines, learnedState.logRatio, learnedState.suspectJobs) else LearnedState(sizes, machines, emptyMap())
         }
     }
 }
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -6,43 +6,43 @@
 import mintfield.core.fleet.ListedMachine
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
-import mintfield.core.fleet.SilentZones
+import mintfield.core.fleet.ZoneFencing
 import mintfield.core.jobs.AttemptState
-import mintfield.core.jobs.Belief
 import mintfield.core.jobs.DirectCommands
+import mintfield.core.jobs.HeartbeatReconciler
 import mintfield.core.jobs.Job
-import mintfield.core.jobs.ReportHandler
-import mintfield.core.jobs.RoundLedger
+import mintfield.core.jobs.JobHealth
+import mintfield.core.jobs.PlanJournal
 import mintfield.core.jobs.RoundRecord
-import mintfield.core.leadership.RenewalBound
+import mintfield.core.leadership.LeaseRenewalLimit
 import mintfield.core.model.AcceptedJob
+import mintfield.core.model.Heartbeat
 import mintfield.core.model.MachineType
-import mintfield.core.model.Order
-import mintfield.core.model.Report
-import mintfield.core.model.ReportedState
 import mintfield.core.model.Settings
 import mintfield.core.model.StateLimitsInForce
+import mintfield.core.model.TaskState
+import mintfield.core.model.WorkerCommand
 import mintfield.core.ownership.Ownership
 import mintfield.core.ownership.WholeFleet
 
-/** How a report is answered. */
-sealed interface ReportAnswer {
-    data class Orders(
+/** How a heartbeat is answered. */
+sealed interface HeartbeatResponse {
+    data class Commands(
         val term: Long,
-        val orders: List<Order>,
-    ) : ReportAnswer
+        val commands: List<WorkerCommand>,
+    ) : HeartbeatResponse
 
     /** The worker has seen a higher term: this leader's time is over. */
-    data object Deposed : ReportAnswer
+    data object Deposed : HeartbeatResponse
 
     /** Another share's leader acts for the machine, or nobody does at the moment. */
-    data object OwnedByAnother : ReportAnswer
+    data object NotOwner : HeartbeatResponse
 
     /** It may not be answered yet. */
-    data object NotNow : ReportAnswer
+    data object ZoneFenced : HeartbeatResponse
 
     /** It must not be answered: its machine may hold a task that is cancelled unknown to this leader. */
-    data object Unrenewed : ReportAnswer
+    data object RenewalRefused : HeartbeatResponse
 }
 
 /**
@@ -52,32 +52,33 @@
 class Scheduler(
     settings: Settings,
     term: Long,
-    /** Whether a job is recorded as withdrawn, also before the replay has told of it. */
-    private val recordedWithdrawn: (String) -> Boolean = { false },
+    /** Whether a job is recorded as cancelled, also before the replay has told of it. */
+    private val isRecordedAsCancelled: (String) -> Boolean = { false },
     private val ownership: Ownership = WholeFleet,
     private val dependencies: DependencyGraph = DependencyGraph { null },
     stateLimits: StateLimitsInForce = StateLimitsInForce(settings),
     private val log: (String) -> Unit,
 ) {
     val cluster = Cluster(settings, term, ownership, stateLimits, log)
-    private val renewalBound = RenewalBound(settings)
-    internal val reports = ReportHandler(cluster, ::knownWithdrawn, log)
+    private val leaseRenewalLimit = LeaseRenewalLimit(settings)
+    internal val heartbeats = HeartbeatReconciler(cluster, ::isKnownAsCancelled, log)
     val fleet = FleetManager(cluster, log)
-    val disowning = SilentZones(cluster, log)
+    val zoneFencing = ZoneFencing(cluster, log)
 
-    private val ledger = RoundLedger(cluster, fleet)
-    private val commits = CommitPlanner(cluster, fleet, disowning, ledger, reports.blame, InheritedUrgency(cluster, dependencies), ::jobRemoved, log)
-    private val direct = DirectCommands(cluster, reports, log)
+    private val planJournal = PlanJournal(cluster, fleet)
+    private val commits =
+        CommitPlanner(cluster, fleet, zoneFencing, planJournal, heartbeats.failureAttribution, InheritedUrgency(cluster, dependencies), ::jobRemoved, log)
+    private val direct = DirectCommands(cluster, heartbeats, log)
 
     /** Workers that were answered before the replay, and when the last of them came for the first time. */
     private val renewed = HashSet<String>()
     private var lastRenewedMs = Machine.NEVER
 
     /**
-     * Jobs that siblings told of as withdrawn before the replay. The state service may fall silent before the view shows them,
-     * and what the siblings have told counts as known when workers are renewed.
+     * Jobs that peers told of as cancelled before the replay. The store may fall silent before the view shows them,
+     * and what the peers have told counts as known when workers are renewed.
      */
-    private val withdrawnBeforeReplay = HashSet<String>()
+    private val cancelledBeforeReplay = HashSet<String>()
 
     /** Replay has ended; before, reports are answered with the term only. */
     var loaded = false
@@ -93,24 +94,24 @@
         nowMs: Long,
     ) = fleet.typesRead(types, nowMs)
 
-    fun replayIntent(intent: RentIntent) {
-        fleet.intents[intent.plea] = intent
+    fun replayIntent(intent: ScaleOutIntent) {
+        fleet.intents[intent.idempotencyKey] = intent
     }
 
     fun replayRound(
         key: String,
         record: RoundRecord,
-        mark: Long,
+        revision: Long,
         nowMs: Long,
         keep: Boolean = false,
-    ) = ledger.replay(key, record, mark, nowMs, keep)
+    ) = planJournal.replay(key, record, revision, nowMs, keep)
 
     /**
      * A round record of which not even the jobs can be told. What it planned is at work unknown to us, until its workers
      * have reported or lost their leases; nothing is planned before.
      */
     fun replayUnreadableRound(nowMs: Long) {
-        cluster.holdUntilMs = nowMs + cluster.timings.leaseEndedMs + Tuning.SILENT_RETURN_SLACK_MS
+        cluster.holdUntilMs = nowMs + cluster.timings.leaseExpiryMs + Tuning.SILENT_RETURN_SLACK_MS
     }
 
     /** What cannot be read may plan anything anywhere: the job keeps what it has, and gets nothing new. */
@@ -119,26 +120,26 @@
     }
 
     /** Takes over what an earlier leader had learned; machines that it does not know are left out. */
-    fun recall(hints: Hints) {
-        cluster.runTimes.recall(hints.logRatio)
-        for ((id, trials) in hints.doubted) cluster.jobs[id]?.let { reports.blame.recall(it, trials) }
-        for ((id, images) in hints.machineImages) {
+    fun restore(learnedState: LearnedState) {
+        cluster.runTimes.restore(learnedState.logRatio)
+        for ((id, probes) in learnedState.suspectJobs) cluster.jobs[id]?.let { heartbeats.failureAttribution.restore(it, probes) }
+        for ((id, images) in learnedState.machineImages) {
             val m = cluster.machines[id] ?: continue
-            images.forEach { image -> hints.imageGb[image]?.let { m.imageUsed(image, it) } }
+            images.forEach { image -> learnedState.imageGb[image]?.let { m.imageUsed(image, it) } }
         }
     }
 
     fun replayDone(nowMs: Long) {
         loaded = true
-        disowning.read = true
+        zoneFencing.read = true
         cluster.replayedAtMs = nowMs
         // What was replayed is written already.
         for (job in cluster.jobs.values) {
             job.changed.clear()
-            job.staleSinceMs = 0
+            job.unwrittenSinceMs = 0
         }
-        withdrawnBeforeReplay.forEach { id -> cluster.jobs[id]?.withdrawn = true }
-        for (job in cluster.jobs.values) if (job.withdrawn) job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "withdrawn", quietly = true) }
+        cancelledBeforeReplay.forEach { id -> cluster.jobs[id]?.cancelled = true }
+        for (job in cluster.jobs.values) if (job.cancelled) job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "cancelled", quietly = true) }
     }
 
     // ---- jobs ----
@@ -152,11 +153,11 @@
             add(Job(accepted), nowMs)
             return
         }
-        if (accepted.mark <= job.mark) return
-        job.mark = accepted.mark
+        if (accepted.revision <= job.revision) return
+        job.revision = accepted.revision
         job.finishing = false
-        job.withdrawnInRecord = accepted.withdrawn
-        if (accepted.withdrawn && !job.withdrawn) withdraw(job, nowMs)
+        job.cancellationRecorded = accepted.cancelled
+        if (accepted.cancelled && !job.cancelled) cancel(job, nowMs)
     }
 
     private fun add(
@@ -164,10 +165,10 @@
         nowMs: Long,
     ) {
         cluster.jobs[job.id] = job
-        job.seenAtMs = nowMs
+        job.firstSeenAtMs = nowMs
         when {
             job.ready -> {}
-            dependencies.isDoomed(job.id) -> cluster.doomed.add(job)
+            dependencies.isCancelledByDependency(job.id) -> cluster.cancelledByDependency.add(job)
             dependencies.isReady(job.id) -> job.becomeReady(dependencies.readySinceMs(job.id))
         }
     }
@@ -179,14 +180,14 @@
     ) {
         val job = cluster.jobs[id] ?: return
         job.becomeReady(dependencies.readySinceMs(id))
-        job.seenAtMs = nowMs
+        job.firstSeenAtMs = nowMs
         cluster.roundWanted = true
-        log("$id is ready: all jobs that it depends on are done")
+        log("$id: ready, all its predecessors are done")
     }
 
-    /** A job that [id] depends on is withdrawn, and so [id] is to be. */
-    fun becameDoomed(id: String) {
-        cluster.jobs[id]?.let(cluster.doomed::add)
+    /** A job that [id] depends on is cancelled, and so [id] is to be. */
+    fun dependencyCancelled(id: String) {
+        cluster.jobs[id]?.let(cluster.cancelledByDependency::add)
     }
 
     /** The job's key is gone from the store: it is finished, or swept. */
@@ -195,88 +196,93 @@
         nowMs: Long,
     ) {
         val job = cluster.jobs.remove(id) ?: return
-        cluster.troubled.remove(job)
-        cluster.doomed.remove(job)
-        job.told.keys
+        cluster.unprovenJobs.remove(job)
+        cluster.cancelledByDependency.remove(job)
+        job.coveringRounds.keys
             .toList()
-            .forEach { ledger.unneeded(job, it, Long.MAX_VALUE) }
+            .forEach { planJournal.superseded(job, it, Long.MAX_VALUE) }
         // A line for each would fill the log of a leader that comes back and finds everything ended.
-        if (job.activeAttempts.isNotEmpty()) log("$id is gone from the store, ${job.activeAttempts.size} tasks are left to their workers' reports")
+        if (job.activeAttempts.isNotEmpty()) log("$id: gone from the store, ${job.activeAttempts.size} tasks are left to their workers' heartbeats")
         for (a in job.activeAttempts.toList()) cluster.release(a, nowMs, Cluster.DESCRIBED_ANEW)
     }
 
     // ---- workers ----
 
-    fun report(
-        report: Report,
+    fun heartbeat(
+        heartbeat: Heartbeat,
         mayAct: Boolean,
         nowMs: Long,
         relayed: Boolean = false,
-        parked: Boolean = false,
+        viaRelayPeer: Boolean = false,
         /** All cancellations that users were told of before this moment are known here. */
         cancellationsToMs: Long = nowMs,
-    ): ReportAnswer {
-        if (!ownership.owns(report.machine)) return ReportAnswer.OwnedByAnother
-        val token = maxOf(cluster.term, ownership.epoch(report.machine))
-        if (report.termSeen > token) return ReportAnswer.Deposed
-        if (!disowning.mayAnswer(report.machine)) return ReportAnswer.NotNow
-        val mayRenew = renewalBound.allows(nowMs - cancellationsToMs)
+    ): HeartbeatResponse {
+        if (!ownership.owns(heartbeat.machine)) return HeartbeatResponse.NotOwner
+        val token = maxOf(cluster.term, ownership.epoch(heartbeat.machine))
+        if (heartbeat.termSeen > token) return HeartbeatResponse.Deposed
+        if (!zoneFencing.mayAnswer(heartbeat.machine)) return HeartbeatResponse.ZoneFenced
+        val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
         if (!loaded) {
-            if (!mayRenew) return ReportAnswer.Unrenewed
-            known(report, nowMs)?.answeredAtMs = nowMs
-            if (renewed.add(report.machine)) lastRenewedMs = nowMs
-            return halts(report)
+            if (!mayRenew) return HeartbeatResponse.RenewalRefused
+            known(heartbeat, nowMs)?.leaseRenewedAtMs = nowMs
+            if (renewed.add(heartbeat.machine)) lastRenewedMs = nowMs
+            return stops(heartbeat)
         }
-        val m = known(report, nowMs) ?: return if (mayRenew) halts(report) else ReportAnswer.Unrenewed
+        val m = known(heartbeat, nowMs) ?: return if (mayRenew) stops(heartbeat) else HeartbeatResponse.RenewalRefused
         m.relayed = relayed
-        m.parked = parked
-        if (m.state == MachineState.AWAITED && report.season == 1L && report.termSeen == 0L) fleet.boots.cameUp(m, nowMs - m.firstSeenAtMs, nowMs)
-        val fresh = reports.take(m, report, checkin = true, nowMs)
-        if (!mayRenew || (!mayAct && reports.mayStartWithdrawn(m, report))) return ReportAnswer.Unrenewed
-        m.answeredAtMs = nowMs
-        if (!fresh || !mayAct) return halts(report)
-        return ReportAnswer.Orders(token, reports.orders(m, checkin = true, nowMs))
+        m.viaRelayPeer = viaRelayPeer
+        if (m.state == MachineState.PROVISIONING &&
+            heartbeat.incarnation == 1L &&
+            heartbeat.termSeen == 0L
+        ) {
+            fleet.bootTimes.cameUp(m, nowMs - m.firstSeenAtMs, nowMs)
+        }
+        val fresh = heartbeats.take(m, heartbeat, viaHeartbeat = true, nowMs)
+        if (!mayRenew || (!mayAct && heartbeats.mayStartCancelled(m, heartbeat))) return HeartbeatResponse.RenewalRefused
+        m.leaseRenewedAtMs = nowMs
+        if (!fresh || !mayAct) return stops(heartbeat)
+        return HeartbeatResponse.Commands(token, heartbeats.commands(m, viaHeartbeat = true, nowMs))
     }
 
     /**
-     * An answer that only renews, and halts what is recorded as withdrawn. That record is for ever, so such a halt is right
+     * An answer that only renews, and stops what is recorded as cancelled. That record is for ever, so such a stop is right
      * whoever leads and whenever it arrives: a leader past its lease may give it too.
      */
-    private fun halts(report: Report): ReportAnswer =
-        ReportAnswer.Orders(
-            maxOf(cluster.term, ownership.epoch(report.machine)),
-            report.tasks
-                .filter { it.state != ReportedState.ENDED && knownWithdrawn(it.task.job) }
-                .map { Order.Halt(it.task, it.attempt, 0.0) },
+    private fun stops(heartbeat: Heartbeat): HeartbeatResponse =
+        HeartbeatResponse.Commands(
+            maxOf(cluster.term, ownership.epoch(heartbeat.machine)),
+            heartbeat.tasks
+                .filter { it.state != TaskState.ENDED && isKnownAsCancelled(it.task.job) }
+                .map { WorkerCommand.Stop(it.task, it.attempt, 0.0) },
         )
 
-    private fun knownWithdrawn(job: String) = cluster.jobs[job]?.withdrawn == true || job in withdrawnBeforeReplay || recordedWithdrawn(job)
+    private fun isKnownAsCancelled(job: String) = cluster.jobs[job]?.cancelled == true || job in cancelledBeforeReplay || isRecordedAsCancelled(job)
 
-    /** A sibling has told a user that [id] is cancelled: its tasks stop now, whatever this leader can read itself. */
-    fun withdrawnElsewhere(
+    /** A peer has told a user that [id] is cancelled: its tasks stop now, whatever this leader can read itself. */
+    fun cancellationConfirmedByPeer(
         id: String,
         nowMs: Long,
     ) {
-        if (!loaded) withdrawnBeforeReplay.add(id)
-        cluster.jobs[id]?.takeIf { !it.withdrawn }?.let { withdraw(it, nowMs) }
+        if (!loaded) cancelledBeforeReplay.add(id)
+        cluster.jobs[id]?.takeIf { !it.cancelled }?.let { cancel(it, nowMs) }
     }
 
-    private fun withdraw(
+    private fun cancel(
         job: Job,
         nowMs: Long,
     ) {
-        job.withdrawn = true
-        log("${job.id} is withdrawn, ${job.activeAttempts.size} tasks to stop")
-        job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "withdrawn", quietly = true) }
+        job.cancelled = true
+        log("${job.id}: cancelled, ${job.activeAttempts.size} tasks to stop")
+        job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "cancelled", quietly = true) }
     }
 
     private fun known(
-        report: Report,
+        heartbeat: Heartbeat,
         nowMs: Long,
     ): Machine? {
-        val m = fleet.machine(report.machine, report.type, report.zone, report.spot, nowMs)
-        if (m == null || !m.guessed) return m
-        return fleet.redescribe(m, report.type, report.zone, report.spot, nowMs)
+        val m = fleet.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        if (m == null || !m.provisional) return m
+        return fleet.redescribe(m, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
     }
 
     fun directCalls(
@@ -286,9 +292,9 @@
 
     fun directAnswered(
         call: DirectCall,
-        report: Report?,
+        heartbeat: Heartbeat?,
         nowMs: Long,
-    ) = direct.answered(call, report, nowMs)
+    ) = direct.answered(call, heartbeat, nowMs)
 
     fun directUnanswered(
         call: DirectCall,
@@ -324,7 +330,7 @@
     fun untaken(
         writes: List<Write>,
         nowMs: Long,
-    ) = ledger.putBack(writes, nowMs)
+    ) = planJournal.putBack(writes, nowMs)
 
     /** A write without an answer may yet be carried out: the term must rise, so that its guard fails. */
     fun fenceLateWrites() = commits.fenceLateWrites()
@@ -358,18 +364,18 @@
             cluster.machines.values
                 .filter { it.state == MachineState.UP }
                 .sumOf { it.freeCpus }
-        val doubted = cluster.troubled.count { it.belief == Belief.DOUBTED }
+        val suspectJobs = cluster.unprovenJobs.count { it.health == JobHealth.SUSPECT }
         val waiting =
             cluster.jobs.values
-                .filter { !it.withdrawn && it.ready }
+                .filter { !it.cancelled && it.ready }
                 .sumOf { it.waitingCount }
-        val dependent = cluster.jobs.values.count { !it.withdrawn && !it.ready }
+        val dependent = cluster.jobs.values.count { !it.cancelled && !it.ready }
         val attempts =
             cluster.machines.values
                 .flatMap { it.attempts }
                 .groupingBy { it.state }
                 .eachCount()
-        return "term ${cluster.term}: ${cluster.jobs.size} jobs, $doubted of them fail everywhere, $dependent wait for others, " +
-            "attempts $attempts, $waiting waiting, machines $by, ${fleet.lateCount(nowMs)} late, ${free.toInt()} CPUs free"
+        return "term ${cluster.term}: ${cluster.jobs.size} jobs, $suspectJobs of them suspect, $dependent wait for predecessors, " +
+            "attempts $attempts, $waiting waiting, machines $by, ${fleet.overdueCount(nowMs)} overdue, ${free.toInt()} CPUs free"
     }
 }
--- a/src/main/kotlin/mintfield/core/Tuning.kt
+++ b/src/main/kotlin/mintfield/core/Tuning.kt
@@ -10,7 +10,7 @@
     /** Bytes. The protocol's bound on request bodies. */
     const val MAX_BODY_BYTES = 64 * 1024
 
-    /** Bytes. A page of the state service holds at most 512 KiB. Watches have no bound: one that brings more is dropped, and what it
+    /** Bytes. A page of the store holds at most 512 KiB. Watches have no bound: one that brings more is dropped, and what it
      *  would have told is read by pages. Parsed, an answer takes several times its size of a heap of 100 MB. */
     const val MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
@@ -27,7 +27,7 @@
     /** Milliseconds to rest after a failed accept, so that lack of sockets does not become a busy loop. */
     const val ACCEPT_PAUSE_MS = 50L
 
-    /** Bytes read at once from a client; reports of a busy machine fit in one or two reads. */
+    /** Bytes read at once from a client; heartbeats of a busy machine fit in one or two reads. */
     const val SERVER_READ_BYTES = 4 * 1024
 
     /** Bytes read at once from a server. */
@@ -49,7 +49,7 @@
     const val INCOMING_SOCKET_SHARE = 0.7
 
     /** Share of those connections from which on workers' connections are closed after each answer. A worker that finds no room tries
-     *  the next controller a second later, and its lease may end; one that connects anew for each report needs a socket for
+     *  the next controller a second later, and its lease may end; one that connects anew for each heartbeat needs a socket for
      *  milliseconds only. */
     const val SHORT_CONNECTIONS_SHARE = 0.8
 
@@ -84,11 +84,11 @@
     /** Attempt numbers of a term start at term times this; more rounds than that never fit into one term. */
     const val ATTEMPTS_PER_TERM = 65_536L
 
-    /** Milliseconds between two raisings of the term: each costs a write and a report of every worker. */
+    /** Milliseconds between two raisings of the term: each costs a write and a heartbeat of every worker. */
     const val RAISE_TERM_GAP_MS = 2_000L
 
     /** Milliseconds after the start for which the clients' port stays closed while no leader is known: longer than an election
-     *  takes, and short enough for a controller that starts in an outage to relay reports. */
+     *  takes, and short enough for a controller that starts in an outage to relay heartbeats. */
     const val LISTEN_WITHOUT_LEADER_MS = 1_500L
 
     /** Milliseconds between looks whether a leader is known. */
@@ -97,7 +97,7 @@
     /** Milliseconds after its start from which on a controller has compiled what it runs most, and renews and replays at once. */
     const val WARMED_UP_MS = 30_000L
 
-    /** Milliseconds without a worker's first report after which a new leader replays, the most that it waits for that, and between
+    /** Milliseconds without a worker's first heartbeat after which a new leader replays, the most that it waits for that, and between
      *  two looks. Replaying takes the processor for a second or more on a small machine, while workers' leases run out. */
     const val RENEWALS_QUIET_MS = 300L
     const val RENEWALS_FIRST_MS = 2_500L
@@ -182,10 +182,10 @@
 
     // --- Workers ---
 
-    /** A report comes after `report_s` give or take a quarter (protocol), so after this many times it at the latest. */
+    /** A heartbeat comes after `report_s` give or take a quarter (protocol), so after this many times it at the latest. */
     const val REPORT_SPREAD = 1.25
 
-    /** Milliseconds without a report after which a machine gets no new tasks, at the least. */
+    /** Milliseconds without a heartbeat after which a machine gets no new tasks, at the least. */
     const val FRESH_REPORT_MS = 4_000L
 
     /** Milliseconds beyond the longest honest interval: a lost packet is sent again after up to a second or two. */
@@ -215,26 +215,26 @@
     /** Milliseconds added before a worker's lease counts as certainly expired. */
     const val WORKER_LEASE_MARGIN_MS = 500L
 
-    /** Answers in a row that a machine must have missed to count as deaf; a single one gets lost now and then. */
+    /** Answers in a row that a machine must have missed to count as unreachable; a single one gets lost now and then. */
     const val DEAF_ANSWERS = 2
 
-    /** Milliseconds between calls that ask a deaf machine whether it hears again. */
+    /** Milliseconds between calls that ask a unreachable machine whether it hears again. */
     const val DEAF_PROBE_MS = 4_000L
 
-    /** Milliseconds without new tasks after a machine hears again, doubled with each time that it was deaf. */
+    /** Milliseconds without new tasks after a machine hears again, doubled with each time that it was unreachable. */
     const val DEAF_PAUSE_MS = 2_000L
 
     /** Times that this pause is doubled at the most. */
     const val DEAF_DOUBLINGS = 5
 
-    /** Milliseconds after which a deaf machine is returned: cuts mostly last for less, a new machine boots in about that. */
+    /** Milliseconds after which a unreachable machine is returned: cuts mostly last for less, a new machine boots in about that. */
     const val DEAF_RETURN_MS = 45_000L
 
     /** Deaf machines up to which, in number or as a share of all, the machines are blamed and not the network. */
     const val DEAF_FEW = 2
     const val DEAF_SHARE = 0.05
 
-    /** Share of `cancel_s` after which a machine where a withdrawn task does not stop is returned, as the last proof. */
+    /** Share of `cancel_s` after which a machine where a cancelled task does not stop is returned, as the last proof. */
     const val CANCEL_SHARE = 0.5
 
     // --- Placement ---
@@ -250,7 +250,7 @@
     const val ARRAY_ROUND_BUSY_MS = 500L
 
     /** Tasks placed in one round at most, so that one round's work and write stay bounded: at the least, and for each CPU of the
-     *  machines that report. Four rounds a second then fill every CPU with a task of its own within 25 s. */
+     *  machines that heartbeat. Four rounds a second then fill every CPU with a task of its own within 25 s. */
     const val ROUND_TASKS = 400
     const val ROUND_TASKS_PER_CPU = 0.01
 
@@ -308,7 +308,7 @@
     const val RESERVE_REPLICAS = 32
     const val RESERVE_SHARE = 0.05
 
-    /** Milliseconds between looks at timers of the core: silence, leases, rentals. */
+    /** Milliseconds between looks at timers of the core: silence, leases, scale-out requests. */
     const val TICK_MS = 250L
 
     /** Milliseconds before a job is tried again after a failure: whatever it was, another machine is to be tried. */
@@ -320,7 +320,7 @@
     /** Jobs not known to be broken that a machine must have failed in a row to be returned on that alone. */
     const val SICK_SUSPECTS = 4
 
-    /** Healthy machines on which a job must fail, with no success anywhere, before the job itself is doubted. */
+    /** Healthy machines on which a job must fail, with no success anywhere, before the job itself is suspect. */
     const val BAD_JOB_MACHINES = 3
 
     /** Failures of a job without any success after which it gets few tasks at a time, and how many, until it is known whether
@@ -349,7 +349,7 @@
      *  start is better off fetching than waiting. */
     const val CROWDED_SHARE = 0.4
 
-    /** Milliseconds after a take-over for which a task waits for machines that hold its image to report, at the least. */
+    /** Milliseconds after a failover for which a task waits for machines that hold its image to report, at the least. */
     const val SETTLE_MS = 3_000L
 
     /** Share of a machine's CPUs that replicas fill while others will do. With half of it, a lost machine cost twice the
@@ -383,7 +383,7 @@
     const val FIND_LEADER_MS = 6_000L
 
     /** Milliseconds after which a machine that only a plan names is returned: it is most likely gone, and returning it
-     *  only proves that. At the least, and beyond the longest honest interval between reports. */
+     *  only proves that. At the least, and beyond the longest honest interval between heartbeats. */
     const val UNLISTED_RETURN_MS = 5_000L
     const val UNLISTED_SLACK_MS = 4_000L
 
@@ -399,7 +399,7 @@
     /** Milliseconds between looks for such zones: machines fall silent one by one, and each look may cost a write. */
     const val DISOWN_LOOK_MS = 1_000L
 
-    /** Milliseconds that a report may wait until a record which names its machine is deleted, and between two looks. A relay
+    /** Milliseconds that a heartbeat may wait until a record which names its machine is deleted, and between two looks. A relay
      *  waits 1.5 s, a worker 4 s. */
     const val DISOWN_WAIT_MS = 1_000L
     const val DISOWN_STEP_MS = 20L
@@ -408,14 +408,14 @@
     const val WALL_MARGIN_MS = 500L
 
     /** Times its usual boot time after which a machine is late (protocol: usually 0.6 to 1.5 times), and milliseconds on top for
-     *  the request and the first report. */
+     *  the request and the first heartbeat. */
     const val LATE_TIMES = 1.75
     const val LATE_SLACK_MS = 3_000L
 
     /** Milliseconds for which a boot tells how long others will take: trouble of a cloud lasts for minutes. */
     const val BOOTS_REMEMBERED_MS = 180_000L
 
-    /** Share of the CPUs there are that may be rented in place of late machines: if more are late, others would be as well. */
+    /** Share of the CPUs there are that may be provisioned in place of late machines: if more are late, others would be as well. */
     const val LATE_SHARE = 0.15
 
     /** A machine that is not up after this many times its usual boot time is returned. */
@@ -448,11 +448,11 @@
     /** Share of the permitted cloud calls that the leader uses. */
     const val CLOUD_SHARE = 0.8
 
-    /** Milliseconds for which the name of a returned machine is kept, lest a late report or list bring it back: reports may come
+    /** Milliseconds for which the name of a returned machine is kept, lest a late heartbeat or list bring it back: reports may come
      *  minutes late. */
     const val GONE_KEPT_MS = 900_000L
 
-    /** Machines asked for in one rental, at the least allowed and as a share of those there are: many that fall together
+    /** Machines asked for in one scale-out request, at the least allowed and as a share of those there are: many that fall together
      *  must not be replaced by eight at a time. */
     const val RENT_AT_ONCE = 8
     const val RENT_SHARE = 0.125
@@ -474,7 +474,7 @@
     /** Milliseconds that a controller waits before it stands for a share whose home is another: an election of the home takes less. */
     const val HOME_FIRST_MS = 600L
 
-    /** Milliseconds for which the home of a share must be up before another controller gives the share back: a take-over costs a second
+    /** Milliseconds for which the home of a share must be up before another controller gives the share back: a failover costs a second
      *  without starts, and a home that ends again soon would cost more of them. */
     const val HOME_RETURN_MS = 20_000L
 
@@ -545,10 +545,10 @@
 
     // --- Peers ---
 
-    /** Milliseconds between notes to the siblings. */
+    /** Milliseconds between notes to the peers. */
     const val PEER_NOTE_MS = 1_000L
 
-    /** Reports and requests on their way to one sibling at once, at the least and for each socket. When workers lose the leader hundreds come to its siblings
+    /** Reports and requests on their way to one peer at once, at the least and for each socket. When workers lose the leader hundreds come to its peers
      *  within a second: those beyond wait their turn for some milliseconds, where each used to open a connection. */
     const val RELAY_LANES = 12
     const val RELAY_LANES_PER_SOCKET = 0.004
@@ -557,7 +557,7 @@
      *  to workers, who would wait 4 s there. */
     const val RELAY_ANSWERED_MS = 500L
 
-    /** Connections that siblings may open here, at the least; each sibling needs its lanes and one or two for notes. */
+    /** Connections that peers may open here, at the least; each peer needs its lanes and one or two for notes. */
     const val PEER_CONNECTIONS = 64
     const val PEER_SPARE_CONNECTIONS = 4
 
@@ -566,28 +566,28 @@
     const val PROGRESS_PER_NOTE = 2_000
     const val PROGRESS_KEPT_MS = 30_000L
 
-    /** Milliseconds to wait for a sibling. */
+    /** Milliseconds to wait for a peer. */
     const val PEER_TIMEOUT_MS = 900L
 
-    /** Milliseconds that a report on its way to the leader through a sibling may take; its worker waits 4 s. */
+    /** Milliseconds that a heartbeat on its way to the leader through a peer may take; its worker waits 4 s. */
     const val RELAY_TIMEOUT_MS = 1_500L
 
-    /** Milliseconds of silence of a sibling after which workers are kept from depending on it: one that was only restarted is
+    /** Milliseconds of silence of a peer after which workers are kept from depending on it: one that was only restarted is
      *  back before. */
     const val PARK_AFTER_MS = 6_000L
 
-    /** Milliseconds for which a worker that was sent to a sibling is answered here if it is back. */
+    /** Milliseconds for which a worker that was sent to a peer is answered here if it is back. */
     const val PARK_AGAIN_MS = 20_000L
 
-    /** Milliseconds that a parked worker's report may take in all: until the leader's lease has ended and its successor is
-     *  elected, which is then most likely the node that has the report. The worker waits 4 s. */
+    /** Milliseconds that a redirected worker's heartbeat may take in all: until the leader's lease has ended and its successor is
+     *  elected, which is then most likely the node that has the heartbeat. The worker waits 4 s. */
     const val PARKED_PATIENCE_MS = 3_500L
     const val PARKED_STEP_MS = 50L
 
     /** A worker heard directly within these milliseconds, at the least, is told to come directly again. */
     const val RELAY_AFTER_MS = 2_500L
 
-    /** Milliseconds beyond the longest honest interval between reports for the same. */
+    /** Milliseconds beyond the longest honest interval between heartbeats for the same. */
     const val RELAY_SLACK_MS = 1_250L
 
     /** Milliseconds for which a worker that was sent to another controller is not sent on again: if it is back before, it
@@ -597,15 +597,15 @@
     /** Milliseconds between two workers of a zone that try whether the leader can be reached again. */
     const val SCOUT_MS = 5_000L
 
-    /** Milliseconds past its lease after which a leader that reaches neither store nor siblings sends workers away. */
+    /** Milliseconds past its lease after which a leader that reaches neither store nor peers sends workers away. */
     const val ISOLATED_MS = 2_000L
 
     /** Milliseconds kept from the time that a cancelled task may stay, when a leader that may have missed cancellations renews
      *  workers: timers and answers are late, and workers end their leases a little late. */
     const val RENEWAL_MARGIN_MS = 2_000L
 
-    /** Jobs that users were last told are cancelled, kept for siblings that lead, at the least; and as many times `cancel_s` of all
-     *  changes that the state service permits. A sibling that reads once a second misses none. */
+    /** Jobs that users were last told are cancelled, kept for peers that lead, at the least; and as many times `cancel_s` of all
+     *  changes that the store permits. A peer that reads once a second misses none. */
     const val CANCELLATIONS_KEPT = 4_000
     const val CANCELLATIONS_KEPT_TIMES = 3.0
 
@@ -616,13 +616,13 @@
     /** Leases between two times that such a leader sends the same worker away. */
     const val SEND_ON_LEASES = 2.0
 
-    /** Milliseconds for which a sibling's note counts. */
+    /** Milliseconds for which a peer's note counts. */
     const val PEER_FRESH_MS = 3_500L
 
-    /** Milliseconds of refusal by the store after which a node whose siblings are served stops taking users. */
+    /** Milliseconds of refusal by the store after which a node whose peers are served stops taking users. */
     const val ALONE_REFUSED_MS = 2_000L
 
-    /** Milliseconds between looks at the clock and the siblings for the log, and by how much such a pause must be longer to speak
+    /** Milliseconds between looks at the clock and the peers for the log, and by how much such a pause must be longer to speak
      *  of a controller that stood still: a busy one is late by some hundreds. */
     const val WATCH_MS = 500L
     const val STOOD_STILL_MS = 1_500L
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
@@ -3,7 +3,7 @@
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
-import mintfield.core.model.Stage
+import mintfield.core.model.JobPhase
 
 /** How a job stands that others depend on. */
 enum class PredecessorState {
@@ -17,7 +17,7 @@
     DONE,
 
     /** Its user was told that it is cancelled, for ever. */
-    WITHDRAWN,
+    CANCELLED,
 }
 
 /** Told what changes in a [DependencyGraph]. */
@@ -25,8 +25,8 @@
     /** All predecessors of [id] are done. */
     fun becameReady(id: String)
 
-    /** A predecessor of [id], direct or through others, is withdrawn. */
-    fun becameDoomed(id: String)
+    /** A predecessor of [id], direct or through others, is cancelled. */
+    fun dependencyCancelled(id: String)
 }
 
 /**
@@ -57,19 +57,19 @@
         internal val successorNodes = LinkedHashSet<Node>()
 
         /** How many predecessors are not done. */
-        internal var awaited = 0
+        internal var pendingPredecessors = 0
 
-        /** Whether it can never start, since a predecessor, direct or through others, is withdrawn. */
-        var doomed = false
+        /** Whether it can never start, since a predecessor, direct or through others, is cancelled. */
+        var cancelledByDependency = false
             internal set
 
         /** The unfinished jobs that depend on it directly. */
         val successors: Set<Node> get() = successorNodes
 
         /** Whether it still counts for the jobs that it depends on. */
-        val wanted: Boolean get() = job != null && !doomed && state == PredecessorState.UNFINISHED
+        val wanted: Boolean get() = job != null && !cancelledByDependency && state == PredecessorState.UNFINISHED
 
-        internal val final: Boolean get() = state == PredecessorState.DONE || state == PredecessorState.WITHDRAWN
+        internal val final: Boolean get() = state == PredecessorState.DONE || state == PredecessorState.CANCELLED
     }
 
     private val nodes = LinkedHashMap<String, Node>()
@@ -81,23 +81,23 @@
     var version = 0L
         private set
 
-    /** Predecessors of which it is not known whether they are unfinished, done or withdrawn. */
+    /** Predecessors of which it is not known whether they are unfinished, done or cancelled. */
     val unresolved: Set<String> get() = unresolvedIds
 
     /** All jobs in the graph. */
     val all: Collection<Node> get() = nodes.values
 
     /** Whether all predecessors of [id] are known to be done. */
-    fun isReady(id: String): Boolean = nodes[id]?.let { it.awaited == 0 && !it.doomed } ?: true
+    fun isReady(id: String): Boolean = nodes[id]?.let { it.pendingPredecessors == 0 && !it.cancelledByDependency } ?: true
 
-    /** Whether a predecessor of [id], direct or through others, is known to be withdrawn. */
-    fun isDoomed(id: String): Boolean = nodes[id]?.doomed ?: false
+    /** Whether a predecessor of [id], direct or through others, is known to be cancelled. */
+    fun isCancelledByDependency(id: String): Boolean = nodes[id]?.cancelledByDependency ?: false
 
     /** When the last predecessor of [id] was done, time of day in milliseconds; 0 if that is not known or it has none. */
     fun readySinceMs(id: String): Long = nodes[id]?.predecessors?.maxOfOrNull { it.endedAtMs } ?: 0L
 
     /** The direct predecessors of [id] that are not done. */
-    fun awaitedBy(id: String): List<String> =
+    fun pendingPredecessorsOf(id: String): List<String> =
         nodes[id]
             ?.predecessors
             .orEmpty()
@@ -129,7 +129,7 @@
         node.job = job
         if (node.state == PredecessorState.UNRESOLVED) change(node, PredecessorState.UNFINISHED)
         if (node.predecessors.isEmpty()) link(node, job.spec.predecessors)
-        if (job.withdrawn) change(node, PredecessorState.WITHDRAWN)
+        if (job.cancelled) change(node, PredecessorState.CANCELLED)
     }
 
     private fun link(
@@ -141,9 +141,9 @@
             val predecessor = nodes[id] ?: predecessor(id)
             node.predecessors.add(predecessor)
             predecessor.successorNodes.add(node)
-            if (predecessor.state != PredecessorState.DONE) node.awaited++
+            if (predecessor.state != PredecessorState.DONE) node.pendingPredecessors++
         }
-        if (node.predecessors.any { it.state == PredecessorState.WITHDRAWN || it.doomed }) doom(node)
+        if (node.predecessors.any { it.state == PredecessorState.CANCELLED || it.cancelledByDependency }) cascadeCancellation(node)
     }
 
     private fun predecessor(id: String): Node {
@@ -153,7 +153,7 @@
             is KnownJob.Ended -> take(node, found.state)
             is KnownJob.Live -> {
                 node.job = found.job
-                node.state = if (found.job.withdrawn) PredecessorState.WITHDRAWN else PredecessorState.UNFINISHED
+                node.state = if (found.job.cancelled) PredecessorState.CANCELLED else PredecessorState.UNFINISHED
             }
             KnownJob.Unreadable -> node.state = PredecessorState.UNFINISHED
             null -> unresolvedIds.add(id)
@@ -165,7 +165,7 @@
         node: Node,
         final: FinalState,
     ) {
-        node.state = if (final.stage == Stage.DONE) PredecessorState.DONE else PredecessorState.WITHDRAWN
+        node.state = if (final.stage == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED
         node.endedAtMs = final.endedAtMs
     }
 
@@ -179,7 +179,7 @@
             dropIfUnused(predecessor)
         }
         node.predecessors.clear()
-        node.awaited = 0
+        node.pendingPredecessors = 0
         if (!node.final) change(node, PredecessorState.UNRESOLVED)
         dropIfUnused(node)
     }
@@ -193,7 +193,7 @@
         if (node.final) return
         version++
         node.endedAtMs = final.endedAtMs
-        change(node, if (final.stage == Stage.DONE) PredecessorState.DONE else PredecessorState.WITHDRAWN)
+        change(node, if (final.stage == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED)
     }
 
     /** There is neither a record nor a final state of [id], which was accepted once: its successors wait until there is. */
@@ -212,24 +212,24 @@
         if (next == PredecessorState.UNRESOLVED) unresolvedIds.add(node.id) else unresolvedIds.remove(node.id)
         when (next) {
             PredecessorState.DONE -> node.successorNodes.toList().forEach(::predecessorDone)
-            PredecessorState.WITHDRAWN -> node.successorNodes.toList().forEach(::doom)
+            PredecessorState.CANCELLED -> node.successorNodes.toList().forEach(::cascadeCancellation)
             PredecessorState.UNRESOLVED, PredecessorState.UNFINISHED -> {}
         }
     }
 
     private fun predecessorDone(node: Node) {
-        node.awaited--
-        if (node.awaited == 0 && !node.doomed) listener?.becameReady(node.id)
+        node.pendingPredecessors--
+        if (node.pendingPredecessors == 0 && !node.cancelledByDependency) listener?.becameReady(node.id)
     }
 
     /** Step by step, not by recursion: a chain may be long. */
-    private fun doom(first: Node) {
+    private fun cascadeCancellation(first: Node) {
         val queue = ArrayDeque(listOf(first))
         while (queue.isNotEmpty()) {
             val node = queue.removeFirst()
-            if (node.doomed) continue
-            node.doomed = true
-            listener?.becameDoomed(node.id)
+            if (node.cancelledByDependency) continue
+            node.cancelledByDependency = true
+            listener?.dependencyCancelled(node.id)
             queue.addAll(node.successorNodes)
         }
     }
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -44,7 +44,7 @@
             val job = cluster.jobs[node.id]
             if (job != null && inherited.isNotEmpty()) {
                 inherit(job, inherited)
-                job.pressing = presses(job, node, wallMs)
+                job.deadlineCritical = isDeadlineCritical(job, node, wallMs)
                 jobs.add(job)
             }
             if (node.wanted) urgencies[node] = passedOn(node, inherited)
@@ -55,11 +55,11 @@
     private fun reset(job: Job) {
         job.priority = job.spec.priority
         job.inheritedDueMs = null
-        job.pressing = false
+        job.deadlineCritical = false
     }
 
     /** Once it is too late it presses no more: then nothing is gained by stopping others. */
-    private fun presses(
+    private fun isDeadlineCritical(
         job: Job,
         node: DependencyGraph.Node,
         wallMs: Long,
@@ -95,7 +95,7 @@
     private fun durationMs(node: DependencyGraph.Node): Double {
         val accepted = checkNotNull(node.job)
         val runS = cluster.jobs[node.id]?.let { cluster.runTimes.expectedS(it) } ?: accepted.spec.estimateS
-        val fetchGbPerS = accepted.fits.mapNotNull { cluster.types[it]?.fetchGbPerS }.minOrNull() ?: 0.0
+        val fetchGbPerS = accepted.compatibleTypes.mapNotNull { cluster.types[it]?.fetchGbPerS }.minOrNull() ?: 0.0
         val fetchS = if (fetchGbPerS > 0) accepted.spec.imageGb / fetchGbPerS else 0.0
         return (runS * Tuning.STAGE_RUN + fetchS) * MS_PER_S + Tuning.STAGE_START_MS
     }
--- a/src/main/kotlin/mintfield/core/fleet/Boots.kt
+++ b/src/main/kotlin/mintfield/core/fleet/BootTimes.kt
@@ -5,9 +5,9 @@
 
 /**
  * How long machines took to come up lately, by type and zone. One that takes longer is late: it may still come, so it is not
- * returned, but what was hoped of it is rented elsewhere. Many late at once speak of the cloud, and move what counts as late.
+ * returned, but what was hoped of it is provisioned elsewhere. Many late at once speak of the cloud, and move what counts as late.
  */
-class Boots {
+class BootTimes {
     private class Seen(
         val times: Double,
         val atMs: Long,
@@ -15,7 +15,7 @@
 
     private val seen = HashMap<Pair<String, String>, ArrayDeque<Seen>>()
 
-    /** A machine reports for the first time, [tookMs] after it was rented. */
+    /** A machine reports for the first time, [tookMs] after it was provisioned. */
     fun cameUp(
         m: Machine,
         tookMs: Long,
@@ -26,8 +26,8 @@
         if (list.size > MOST) list.removeFirst()
     }
 
-    /** Milliseconds from its rental after which a machine of [type] in [zone] is late. */
-    fun lateAfterMs(
+    /** Milliseconds from its scale-out request after which a machine of [type] in [zone] is late. */
+    fun overdueAfterMs(
         type: MachineType,
         zone: String,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.CloudCall
 import mintfield.core.Cluster
-import mintfield.core.RentIntent
+import mintfield.core.ScaleOutIntent
 import mintfield.core.Tuning
 import mintfield.core.jobs.AttemptState
 import mintfield.core.model.MachineType
@@ -23,9 +23,9 @@
     private val log: (String) -> Unit,
 ) {
     /** Intents that are written, to be carried out. */
-    val intents = LinkedHashMap<String, RentIntent>()
-    val spentIntents = ArrayDeque<String>()
-    private val gone = ReturnedMachines()
+    val intents = LinkedHashMap<String, ScaleOutIntent>()
+    val completedIntents = ArrayDeque<String>()
+    private val gone = ReleasedMachines()
     private var lastListMs = Machine.NEVER
     private var listAfter: String? = null
     private var listing = false
@@ -35,18 +35,18 @@
     private var listedOnce = false
     private var lastTypesMs = Machine.NEVER
     private var pausedUntilMs = Machine.NEVER
-    val boots = Boots()
-    private val sizing = FleetSizing(cluster, boots, ::condemn, log)
-    private val watch = MachineWatch(cluster, ::condemn, ::listLagMs)
+    val bootTimes = BootTimes()
+    private val sizing = FleetSizing(cluster, bootTimes, ::scheduleRelease, log)
+    private val watch = MachineWatch(cluster, ::scheduleRelease, ::listLagMs)
 
-    /** Rentals that are wanted; to be written as intents. */
-    val wishes get() = sizing.wishes
+    /** Scale-out requests that are wanted; to be written as intents. */
+    val wantedIntents get() = sizing.wantedIntents
 
     /** Told of each machine that is certainly gone. */
-    var returnedNow: (String) -> Unit = {}
+    var onReleased: (String) -> Unit = {}
 
-    /** Told of what was rented before it is used; true if it may be used at once. */
-    var rentedNow: (RentIntent, List<String>) -> Boolean = { _, _ -> true }
+    /** Told of what was provisioned before it is used; true if it may be used at once. */
+    var onProvisioned: (ScaleOutIntent, List<String>) -> Boolean = { _, _ -> true }
 
     fun typesRead(
         types: List<MachineType>,
@@ -70,22 +70,22 @@
         m.firstSeenAtMs = nowMs
         adoptedAtMs.remove(id)?.let { m.adoptedAtMs = it }
         m.epoch = cluster.ownership.epoch(id)
-        m.neededTerm = maxOf(cluster.firstTerm, m.epoch)
-        m.unansweredTerm = m.neededTerm - 1
+        m.requiredTerm = maxOf(cluster.firstTerm, m.epoch)
+        m.unacknowledgedTerm = m.requiredTerm - 1
         cluster.machines[id] = m
         return m
     }
 
     /** A machine of another share on which a recorded plan has tasks; its type is a guess that nothing rests on. */
-    fun away(
+    fun ownedElsewhere(
         id: String,
         type: MachineType,
         zone: String,
         nowMs: Long,
     ): Machine =
         Machine(id, type, zone, spot = false).also {
-            it.moveTo(MachineState.AWAY, nowMs)
-            it.guessed = true
+            it.moveTo(MachineState.OWNED_ELSEWHERE, nowMs)
+            it.provisional = true
             cluster.machines[id] = it
         }
 
@@ -96,7 +96,7 @@
     ) {
         val m = cluster.machines[id] ?: return
         sizing.left(id)
-        if (m.attempts.isEmpty()) cluster.machines.remove(id) else m.moveTo(MachineState.AWAY, nowMs)
+        if (m.attempts.isEmpty()) cluster.machines.remove(id) else m.moveTo(MachineState.OWNED_ELSEWHERE, nowMs)
     }
 
     /**
@@ -112,16 +112,16 @@
             adoptedAtMs[id] = nowMs
             return
         }
-        if (m.state != MachineState.AWAY) return
-        m.moveTo(MachineState.AWAITED, nowMs)
+        if (m.state != MachineState.OWNED_ELSEWHERE) return
+        m.moveTo(MachineState.PROVISIONING, nowMs)
         m.epoch = cluster.ownership.epoch(id)
-        m.neededTerm = maxOf(cluster.firstTerm, m.epoch)
-        m.unansweredTerm = maxOf(m.unansweredTerm, m.neededTerm - 1)
-        m.answeredAtMs = nowMs
+        m.requiredTerm = maxOf(cluster.firstTerm, m.epoch)
+        m.unacknowledgedTerm = maxOf(m.unacknowledgedTerm, m.requiredTerm - 1)
+        m.leaseRenewedAtMs = nowMs
         m.firstSeenAtMs = nowMs
         m.adoptedAtMs = nowMs
-        m.lastReport = null
-        m.quiet = false
+        m.lastHeartbeat = null
+        m.reconciled = false
     }
 
     /**
@@ -134,14 +134,14 @@
     ) {
         val type = cluster.types.values.firstOrNull() ?: return
         val m = machine(id, type.name, type.zones.firstOrNull() ?: return, false, nowMs) ?: return
-        m.guessed = true
+        m.provisional = true
         m.adoptedAtMs = nowMs
     }
 
-    /** A machine that was rented by this leader has become its own. */
+    /** A machine that was provisioned by this leader has become its own. */
     fun claimed(
         id: String,
-        intent: RentIntent?,
+        intent: ScaleOutIntent?,
         nowMs: Long,
     ) {
         if (intent != null) machine(id, intent.type, intent.zone, intent.spot, nowMs)
@@ -161,17 +161,17 @@
         spot: Boolean,
         nowMs: Long,
     ): Machine? {
-        if (type !in cluster.types || old.state == MachineState.RETURNING || !cluster.ownership.owns(old.id)) return old
+        if (type !in cluster.types || old.state == MachineState.TERMINATING || !cluster.ownership.owns(old.id)) return old
         cluster.machines.remove(old.id)
         val m = machine(old.id, type, zone, spot, nowMs) ?: return null
-        m.unansweredTerm = maxOf(m.unansweredTerm, old.unansweredTerm)
+        m.unacknowledgedTerm = maxOf(m.unacknowledgedTerm, old.unacknowledgedTerm)
         m.adoptedAtMs = old.adoptedAtMs
-        m.answeredAtMs = old.answeredAtMs
+        m.leaseRenewedAtMs = old.leaseRenewedAtMs
         for (a in old.attempts.toList()) {
             val state = a.state
             cluster.release(a, nowMs, Cluster.DESCRIBED_ANEW)
-            val b = cluster.occupy(a.job, a.index, a.number, m, a.season)
-            b.everSent = a.everSent
+            val b = cluster.occupy(a.job, a.index, a.number, m, a.incarnation)
+            b.startSent = a.startSent
             if (state != AttemptState.PLANNING) b.moveTo(AttemptState.PLANNED, nowMs)
             if (state == AttemptState.STOPPING) b.moveTo(AttemptState.STOPPING, nowMs)
         }
@@ -183,14 +183,14 @@
         if (nowMs < pausedUntilMs) return null
         val back =
             cluster.machines.values
-                .filter { it.state == MachineState.CONDEMNED }
+                .filter { it.state == MachineState.RELEASING }
                 .take(MAX_RETURN)
         if (back.isNotEmpty()) {
-            back.forEach { it.moveTo(MachineState.RETURNING, nowMs) }
-            return CloudCall.Return(back.map { it.id })
+            back.forEach { it.moveTo(MachineState.TERMINATING, nowMs) }
+            return CloudCall.Release(back.map { it.id })
         }
         if (!listedOnce) return CloudCall.ListPage(listAfter)
-        intents.values.firstOrNull()?.let { return CloudCall.Rent(it) }
+        intents.values.firstOrNull()?.let { return CloudCall.Provision(it) }
         if (listing || nowMs - lastListMs >= Tuning.LIST_MS) return CloudCall.ListPage(listAfter)
         if (nowMs - lastTypesMs >= Tuning.TYPES_MS) return CloudCall.Types
         return null
@@ -201,8 +201,8 @@
         nowMs: Long,
     ) {
         pausedUntilMs = nowMs + Tuning.CLOUD_RETRY_MS
-        if (call is CloudCall.Return) {
-            call.machines.forEach { cluster.machines[it]?.takeIf { m -> m.state == MachineState.RETURNING }?.moveTo(MachineState.CONDEMNED, nowMs) }
+        if (call is CloudCall.Release) {
+            call.machines.forEach { cluster.machines[it]?.takeIf { m -> m.state == MachineState.TERMINATING }?.moveTo(MachineState.RELEASING, nowMs) }
         }
     }
 
@@ -219,18 +219,18 @@
             ownerless.remove(l.id)
             if (l.stage == "failed" && l.id !in gone) {
                 val m = machine(l.id, l.type, l.zone, l.spot, nowMs) ?: continue
-                condemn(m, nowMs, "it failed by itself")
+                scheduleRelease(m, nowMs, "it failed by itself")
                 continue
             }
             val known = l.id in cluster.machines
             val m = machine(l.id, l.type, l.zone, l.spot, nowMs) ?: continue
             if (m.firstListedAtMs == Machine.NEVER) m.firstListedAtMs = nowMs
             m.listedAtMs = nowMs
-            val described = if (m.guessed) redescribe(m, l.type, l.zone, l.spot, nowMs) ?: m else m
+            val described = if (m.provisional) redescribe(m, l.type, l.zone, l.spot, nowMs) ?: m else m
             // What still boots is not in use.
             if (l.stage == "starting") described.adoptedAtMs = Machine.NEVER
             // Only a machine that still boots is as old as it is listed. One that is up has merely not reported to this
-            // leader yet: judged by its age, a take-over would return the whole fleet.
+            // leader yet: judged by its age, a failover would return the whole fleet.
             if (!known && l.stage == "starting") m.firstSeenAtMs = nowMs - (l.heldS * 1000).toLong().coerceAtMost(MAX_HELD_MS)
         }
         if (listAfter == null) listFromMs = nowMs
@@ -250,78 +250,78 @@
     private fun unlisted(nowMs: Long) {
         val lagMs = listLagMs()
         for (m in cluster.machines.values.toList()) {
-            if (m.state != MachineState.SILENT || m.listedAtMs >= listFromMs || m.firstListedAtMs == Machine.NEVER) continue
-            if (nowMs - m.firstListedAtMs > lagMs) condemn(m, nowMs, "it is silent and not listed any more")
+            if (m.state != MachineState.UNRESPONSIVE || m.listedAtMs >= listFromMs || m.firstListedAtMs == Machine.NEVER) continue
+            if (nowMs - m.firstListedAtMs > lagMs) scheduleRelease(m, nowMs, "unresponsive and not listed any more")
         }
     }
 
     /** Milliseconds after which a list must show what there is, at the latest. */
     fun listLagMs(): Long = (cluster.settings.listLagS * 1000 * Tuning.LIST_LAG_TIMES).toLong() + Tuning.LIST_MS
 
-    fun rented(
-        intent: RentIntent,
+    fun provisioned(
+        intent: ScaleOutIntent,
         ids: List<String>,
         nowMs: Long,
     ) {
-        intents.remove(intent.plea)
-        if (rentedNow(intent, ids)) {
-            spentIntents.add(intent.plea)
+        intents.remove(intent.idempotencyKey)
+        if (onProvisioned(intent, ids)) {
+            completedIntents.add(intent.idempotencyKey)
             ids.forEach { machine(it, intent.type, intent.zone, intent.spot, nowMs) }
         }
-        log("rented ${ids.size} of ${intent.number} ${intent.type} in ${intent.zone}${if (intent.spot) ", spot" else ""}: $ids")
+        log("provisioned ${ids.size} of ${intent.number} ${intent.type} in ${intent.zone}${if (intent.spot) ", spot" else ""}: $ids")
         if (ids.isNotEmpty()) sizing.granted(intent)
         if (ids.size < intent.number) sizing.refused(intent, nowMs)
     }
 
     fun noCapacity(
-        intent: RentIntent,
+        intent: ScaleOutIntent,
         nowMs: Long,
     ) {
-        intents.remove(intent.plea)
-        spentIntents.add(intent.plea)
+        intents.remove(intent.idempotencyKey)
+        completedIntents.add(intent.idempotencyKey)
         sizing.refused(intent, nowMs)
     }
 
-    fun returned(
+    fun released(
         ids: List<String>,
         nowMs: Long,
     ) {
         for (id in ids) {
             val m = cluster.machines.remove(id) ?: continue
-            m.attempts.toList().forEach { cluster.release(it, nowMs, "${m.id} was returned") }
-            sizing.freed(m)
-            m.moveTo(MachineState.GONE, nowMs)
+            m.attempts.toList().forEach { cluster.release(it, nowMs, "${m.id} was released") }
+            sizing.capacityFreed(m)
+            m.moveTo(MachineState.TERMINATED, nowMs)
             gone.add(id, nowMs)
-            returnedNow(id)
+            onReleased(id)
         }
     }
 
-    fun condemn(
+    fun scheduleRelease(
         m: Machine,
         nowMs: Long,
-        why: String,
+        reason: String,
     ) {
-        if (m.state == MachineState.CONDEMNED || m.state == MachineState.RETURNING) return
-        log("returning ${m.id} (${m.type.name}, ${m.zone}${if (m.spot) ", spot" else ""}) with ${m.attempts.size} tasks: $why")
-        m.moveTo(MachineState.CONDEMNED, nowMs)
+        if (m.state == MachineState.RELEASING || m.state == MachineState.TERMINATING) return
+        log("releasing ${m.id} (${m.type.name}, ${m.zone}${if (m.spot) ", spot" else ""}) with ${m.attempts.size} tasks: $reason")
+        m.moveTo(MachineState.RELEASING, nowMs)
     }
 
     /** Looks at the clock for each machine. */
     fun tick(nowMs: Long) = watch.look(nowMs)
 
     /** Whether the lease that [m] had from this leader has certainly ended. */
-    fun leaseEnded(
+    fun leaseExpired(
         m: Machine,
         nowMs: Long,
-    ) = watch.leaseEnded(m, nowMs)
+    ) = watch.leaseExpired(m, nowMs)
 
     /** Compares what is wanted with what is there, once that is known and nothing that was wanted is under way. */
     fun size(nowMs: Long) {
-        if (listedOnce && wishes.isEmpty() && intents.isEmpty() && cluster.ownership.claiming == 0) sizing.look(nowMs)
+        if (listedOnce && wantedIntents.isEmpty() && intents.isEmpty() && cluster.ownership.claiming == 0) sizing.look(nowMs)
     }
 
     /** Machines that are late to come up. */
-    fun lateCount(nowMs: Long): Int = sizing.lateCount(nowMs)
+    fun overdueCount(nowMs: Long): Int = sizing.overdueCount(nowMs)
 
     private companion object {
         /** Names in one call; the protocol's bound. */
