--- a/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
@@ -1,7 +1,7 @@
 package mintfield.core.fleet
 
 import mintfield.core.Cluster
-import mintfield.core.RentIntent
+import mintfield.core.ScaleOutIntent
 import mintfield.core.Tuning
 import mintfield.core.jobs.Job
 import mintfield.core.model.MachineType
@@ -10,8 +10,8 @@
 /** Decides how many machines are wanted, of which type, zone and kind, and which of those there are may be returned as idle. */
 class FleetSizing(
     private val cluster: Cluster,
-    private val boots: Boots,
-    private val condemn: (Machine, Long, String) -> Unit,
+    private val bootTimes: BootTimes,
+    private val scheduleRelease: (Machine, Long, String) -> Unit,
     private val log: (String) -> Unit,
 ) {
     private data class Offer(
@@ -20,21 +20,21 @@
         val spot: Boolean,
     )
 
-    /** Rentals that are wanted; to be written as intents before they are asked for. */
-    val wishes = ArrayDeque<RentIntent>()
+    /** Scale-out requests that are wanted; to be written as intents before they are asked for. */
+    val wantedIntents = ArrayDeque<ScaleOutIntent>()
     private val refusedUntil = HashMap<Offer, Long>()
     private val refusalPause = HashMap<Offer, Long>()
     private val idleSince = HashMap<String, Long>()
-    private var pleaNumber = 0
+    private var intentNumber = 0
 
     /** The cloud has let what [intent] asked for. */
-    fun granted(intent: RentIntent) {
+    fun granted(intent: ScaleOutIntent) {
         cluster.types[intent.type]?.let { refusalPause.remove(Offer(it, intent.zone, intent.spot)) }
     }
 
     /** The cloud had less than [intent] asked for: the same is not asked for again for a while. */
     fun refused(
-        intent: RentIntent,
+        intent: ScaleOutIntent,
         nowMs: Long,
     ) {
         val type = cluster.types[intent.type] ?: return
@@ -45,7 +45,7 @@
     }
 
     /** [m] was returned: its place may be let again, and a refusal from before says nothing any more. */
-    fun freed(m: Machine) {
+    fun capacityFreed(m: Machine) {
         val offer = Offer(m.type, m.zone, m.spot)
         refusedUntil.remove(offer)
         refusalPause.remove(offer)
@@ -61,51 +61,51 @@
         var arrays = 0.0
         var services = 0.0
         for (job in cluster.jobs.values) {
-            if (job.withdrawn) continue
+            if (job.cancelled) continue
             val want = job.demand * job.spec.cpus
             if (job.spec.shape == Shape.SERVICE) services += want else arrays += want
         }
         var ordinary = 0.0
         var spot = 0.0
-        var late = 0.0
+        var overdue = 0.0
         for (m in cluster.machines.values) {
-            if (!m.lasting) continue
-            if (late(m, nowMs)) {
-                late += m.type.cpus
+            if (!m.expectedToLast) continue
+            if (overdue(m, nowMs)) {
+                overdue += m.type.cpus
                 continue
             }
             if (m.spot) spot += m.type.cpus else ordinary += m.type.cpus
         }
         // Of late machines a part is hoped for all the same, or trouble of the cloud would have us rent without end.
-        ordinary += maxOf(0.0, late - (ordinary + spot) * Tuning.LATE_SHARE)
-        val mayRent = cluster.ownership.roomToRent > 0
-        if (mayRent && homeless()?.let { wishFor(it, nowMs) } == true) return
+        ordinary += maxOf(0.0, overdue - (ordinary + spot) * Tuning.LATE_SHARE)
+        val mayScaleOut = cluster.ownership.scaleOutHeadroom > 0
+        if (mayScaleOut && unplaceableJob()?.let { requestScaleOutFor(it, nowMs) } == true) return
         val ordinaryShort = services * cluster.settings.operator.headroom - ordinary
         val allShort = (services + arrays) * cluster.settings.operator.headroom - ordinary - spot
-        if (allShort <= 0 && ordinaryShort <= 0) return returnIdle(nowMs, -allShort)
+        if (allShort <= 0 && ordinaryShort <= 0) return releaseIdle(nowMs, -allShort)
         idleSince.clear()
-        if (!mayRent) return
+        if (!mayScaleOut) return
         val offer = choose(nowMs) { !it.spot || ordinaryShort <= 0 } ?: return
-        val number = Math.ceil(maxOf(allShort, ordinaryShort) / offer.type.cpus).toInt().coerceIn(1, rentAtOnce())
-        wish(offer, number, "short of ${allShort.toInt()} CPUs")
+        val number = Math.ceil(maxOf(allShort, ordinaryShort) / offer.type.cpus).toInt().coerceIn(1, scaleOutBatch())
+        requestScaleOut(offer, number, "short of ${allShort.toInt()} CPUs")
     }
 
-    private fun wish(
+    private fun requestScaleOut(
         offer: Offer,
         number: Int,
-        why: String,
+        reason: String,
     ) {
-        wishes.add(RentIntent("mf-${cluster.term}-${++pleaNumber}", offer.type.name, offer.zone, offer.spot, number))
-        log("wishing for $number ${offer.type.name} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $why")
+        wantedIntents.add(ScaleOutIntent("mf-${cluster.term}-${++intentNumber}", offer.type.name, offer.zone, offer.spot, number))
+        log("scale-out wanted: $number ${offer.type.name} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $reason")
     }
 
-    private fun wishFor(
+    private fun requestScaleOutFor(
         job: Job,
         nowMs: Long,
     ): Boolean {
         val offer = choose(nowMs) { mayHold(job, it.type, it.zone, it.spot) } ?: return false
-        val number = Math.ceil(job.askable * job.spec.cpus / offer.type.cpus).toInt().coerceIn(1, rentAtOnce())
-        wish(offer, number, "no machine can hold a task of ${job.id}")
+        val number = Math.ceil(job.schedulableTasks * job.spec.cpus / offer.type.cpus).toInt().coerceIn(1, scaleOutBatch())
+        requestScaleOut(offer, number, "no machine can hold a task of ${job.id}")
         return true
     }
 
@@ -114,31 +114,34 @@
         type: MachineType,
         zone: String,
         spot: Boolean,
-    ) = type.name in job.fits && (job.spec.zone == null || job.spec.zone == zone) && (job.spec.spot || !spot)
+    ) = type.name in job.compatibleTypes && (job.spec.zone == null || job.spec.zone == zone) && (job.spec.spot || !spot)
 
     /** A job that no machine could hold even if it were empty, however many CPUs there are: its zone may have lost its last. */
-    private fun homeless(): Job? {
+    private fun unplaceableJob(): Job? {
         val served = HashSet<Triple<Set<String>, String?, Boolean>>()
         for (job in cluster.jobs.values) {
-            if (job.withdrawn || job.askable == 0) continue
-            val key = Triple(job.fits, job.spec.zone, job.spec.spot)
+            if (job.cancelled || job.schedulableTasks == 0) continue
+            val key = Triple(job.compatibleTypes, job.spec.zone, job.spec.spot)
             if (key in served) continue
-            if (cluster.machines.values.none { it.lasting && !it.guessed && mayHold(job, it.type, it.zone, it.spot) }) return job
+            if (cluster.machines.values.none { it.expectedToLast && !it.provisional && mayHold(job, it.type, it.zone, it.spot) }) return job
             served.add(key)
         }
         return null
     }
 
-    private fun late(
+    private fun overdue(
         m: Machine,
         nowMs: Long,
-    ) = m.state == MachineState.AWAITED && m.attempts.isEmpty() && nowMs - m.firstSeenAtMs > boots.lateAfterMs(m.type, m.zone, nowMs)
+    ) = m.state == MachineState.PROVISIONING && m.attempts.isEmpty() && nowMs - m.firstSeenAtMs > bootTimes.overdueAfterMs(m.type, m.zone, nowMs)
 
     /** Machines that are late to come up. */
-    fun lateCount(nowMs: Long): Int = cluster.machines.values.count { late(it, nowMs) }
+    fun overdueCount(nowMs: Long): Int = cluster.machines.values.count { overdue(it, nowMs) }
 
-    private fun rentAtOnce() =
-        maxOf(Tuning.RENT_AT_ONCE, (cluster.machines.size * Tuning.RENT_SHARE).toInt()).coerceAtMost(minOf(Tuning.RENT_AT_MOST, cluster.ownership.roomToRent))
+    private fun scaleOutBatch() =
+        maxOf(
+            Tuning.RENT_AT_ONCE,
+            (cluster.machines.size * Tuning.RENT_SHARE).toInt(),
+        ).coerceAtMost(minOf(Tuning.RENT_AT_MOST, cluster.ownership.scaleOutHeadroom))
 
     private fun choose(
         nowMs: Long,
@@ -160,7 +163,7 @@
             )
     }
 
-    private fun returnIdle(
+    private fun releaseIdle(
         nowMs: Long,
         spare: Double,
     ) {
@@ -171,10 +174,10 @@
                 continue
             }
             val since = idleSince.getOrPut(m.id) { nowMs }
-            val patience = if (cluster.jobs.isEmpty()) Tuning.EMPTY_RETURN_MS else cluster.settings.operator.idleReturnMs
+            val patience = if (cluster.jobs.isEmpty()) Tuning.EMPTY_RETURN_MS else cluster.settings.operator.idleReleaseMs
             if (nowMs - since > patience) {
                 idleSince.remove(m.id)
-                return condemn(m, nowMs, "idle and not needed")
+                return scheduleRelease(m, nowMs, "idle and not needed")
             }
         }
     }
--- a/src/main/kotlin/mintfield/core/fleet/Machine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Machine.kt
@@ -2,86 +2,86 @@
 
 import mintfield.core.jobs.Attempt
 import mintfield.core.jobs.AttemptState
+import mintfield.core.model.Heartbeat
 import mintfield.core.model.MachineType
-import mintfield.core.model.Report
 import mintfield.core.model.Shape
 
 enum class MachineState {
     /** Rented; its worker has not reported to this leader. */
-    AWAITED,
+    PROVISIONING,
 
     /** Reports. */
     UP,
 
     /** Has reported, but not lately. Takes no new tasks; what it holds stays its own until proof of release. */
-    SILENT,
+    UNRESPONSIVE,
 
     /** To be returned: takes no new tasks. */
-    CONDEMNED,
+    RELEASING,
 
     /** Return asked of the cloud, answer awaited. */
-    RETURNING,
+    TERMINATING,
 
     /** The cloud confirmed that it and everything on it are gone. */
-    GONE,
+    TERMINATED,
 
     /** Another share owns it. What is planned there stays so until its owner has told what became of it. */
-    AWAY,
+    OWNED_ELSEWHERE,
 }
 
-/** A rented machine as the leader knows it, with the attempts that occupy it. */
+/** A provisioned machine as the leader knows it, with the attempts that occupy it. */
 class Machine(
     val id: String,
     val type: MachineType,
     val zone: String,
     val spot: Boolean,
 ) {
-    var state = MachineState.AWAITED
+    var state = MachineState.PROVISIONING
         private set
     var stateSinceMs = 0L
         private set
     var address: String? = null
-    var season = 0L
-    var tally = 0L
+    var incarnation = 0L
+    var sequence = 0L
     var termSeen = 0L
-    var heardAtMs = NEVER
+    var lastContactAtMs = NEVER
 
-    /** When its last report of its own came, and not in answer to a command: only those are answered, which renews its lease. */
-    var checkedInAtMs = NEVER
+    /** When its last heartbeat of its own came, and not in answer to a command: only those are answered, which renews its lease. */
+    var lastHeartbeatAtMs = NEVER
 
-    /** When its lease last began, at the latest: a report of it was answered, which may have reached it, or a season showed. */
-    var answeredAtMs = NEVER
+    /** When its lease last began, at the latest: a heartbeat of it was answered, which may have reached it, or a incarnation showed. */
+    var leaseRenewedAtMs = NEVER
 
     /** Whether our answers and commands reach it. */
-    val hearing = Reachability()
+    val reachability = Reachability()
 
     /**
      * Lowest term that its worker must have seen for tasks to be planned here. A new leader cannot tell a late copy of an
-     * old report from a new one, and the machine that sent it may be long gone; what has seen our term lives in our tenure.
+     * old heartbeat from a new one, and the machine that sent it may be long gone; what has seen our term lives in our tenure.
      */
-    var neededTerm = 0L
+    var requiredTerm = 0L
 
-    /** Known only by name, from a plan: type, zone and kind are guesses until a report or the list tells them. */
-    var guessed = false
+    /** Known only by name, from a plan: type, zone and kind are guesses until a heartbeat or the list tells them. */
+    var provisional = false
     var firstSeenAtMs = 0L
     var firstListedAtMs = NEVER
     var listedAtMs = NEVER
 
     /** When the cloud will take it, if it has said so. */
-    var takenAtMs: Long? = null
+    var terminationAtMs: Long? = null
 
     /**
      * Highest term of a direct start to this machine that may still be under way. Nothing is cleared or taken for absent
      * there until the worker has seen a higher term, since a late copy could start a task again.
      */
-    var unansweredTerm = 0L
+    var unacknowledgedTerm = 0L
     var directInFlight = false
 
-    /** Its last report came by way of a sibling: most likely nothing that is sent to it straight would arrive. */
+    /** Its last heartbeat came by way of a peer: most likely nothing that is sent to it straight would arrive. */
     var relayed = false
 
     /** That is so because it was sent there, so it may well be reached. */
-    var parked = false
+    var viaRelayPeer = false
     var directPausedUntilMs = 0L
 
     /** Lowest token of commands to it: the revision at which it became this leader's, 0 while one leader owns all. */
@@ -93,7 +93,7 @@
     val attempts = LinkedHashSet<Attempt>()
 
     /** Tasks here whose jobs another share's leader schedules. */
-    val guests = GuestTasks()
+    val foreignTasks = ForeignTasks()
 
     /** Attempts by state, and by image: asked for at every round, so never counted anew. */
     private val byState = IntArray(AttemptState.entries.size)
@@ -107,10 +107,10 @@
         private set
 
     /**
-     * The last report agreed with what is planned and left nothing to order. Until an attempt here changes or another
+     * The last heartbeat agreed with what is planned and left nothing to order. Until an attempt here changes or another
      * list of tasks comes, there is nothing to do.
      */
-    var quiet = false
+    var reconciled = false
     var cpus = 0.0
         private set
     var gpus = 0.0
@@ -118,30 +118,30 @@
     var memoryGb = 0.0
         private set
 
-    var lastReport: Report? = null
+    var lastHeartbeat: Heartbeat? = null
 
     /** Failures since the last success, and the jobs that they struck of which it is not known whether they can succeed. */
-    val suspects = HashSet<String>()
+    val suspectJobs = HashSet<String>()
     var failures = 0
 
     /** Of those, the ones of jobs whose tasks succeed elsewhere. */
-    var blamed = 0
+    var attributedFailures = 0
 
     /** No tasks before that, since it does not hear well or refused some. */
-    var avoidUntilMs = 0L
+    var backoffUntilMs = 0L
 
     /** No tasks before that, since it fails them. */
-    var setAsideUntilMs = 0L
+    var quarantinedUntilMs = 0L
 
     private val images = LinkedHashMap<String, Double>(16, 0.75f, true)
     private var imagesGb = 0.0
 
-    val freeCpus: Double get() = type.cpus - cpus - guests.cpus
-    val freeGpus: Double get() = type.gpus - gpus - guests.gpus
-    val freeMemoryGb: Double get() = type.memoryGb - memoryGb - guests.memoryGb
+    val freeCpus: Double get() = type.cpus - cpus - foreignTasks.cpus
+    val freeGpus: Double get() = type.gpus - gpus - foreignTasks.gpus
+    val freeMemoryGb: Double get() = type.memoryGb - memoryGb - foreignTasks.memoryGb
 
     /** Whether any task holds room here. */
-    val inUse: Boolean get() = attempts.isNotEmpty() || !guests.isEmpty
+    val inUse: Boolean get() = attempts.isNotEmpty() || !foreignTasks.isEmpty
 
     /** The only place where a machine changes its state. */
     fun moveTo(
@@ -156,7 +156,7 @@
 
     fun occupy(a: Attempt) {
         if (!attempts.add(a)) return
-        quiet = false
+        reconciled = false
         byState[a.state.ordinal]++
         byImage.merge(a.job.spec.image, 1, Int::plus)
         if (!hasImage(a.job.spec.image)) fetching[a.job.spec.image] = a.job.spec.imageGb
@@ -168,7 +168,7 @@
 
     fun vacate(a: Attempt) {
         if (!attempts.remove(a)) return
-        quiet = false
+        reconciled = false
         // Used until now: reading it makes it the latest.
         images[a.job.spec.image]
         byState[a.state.ordinal]--
@@ -192,7 +192,7 @@
         from: AttemptState,
         to: AttemptState,
     ) {
-        quiet = false
+        reconciled = false
         byState[from.ordinal]--
         byState[to.ordinal]++
     }
@@ -243,8 +243,11 @@
     val cachedImages: Map<String, Double> get() = images
 
     /** Whether it is, or will most likely be, of use for a while. */
-    val lasting: Boolean
-        get() = (state == MachineState.UP || state == MachineState.AWAITED) && takenAtMs == null && hearing.state != ReachabilityState.DEAF
+    val expectedToLast: Boolean
+        get() =
+            (state == MachineState.UP || state == MachineState.PROVISIONING) &&
+                terminationAtMs == null &&
+                reachability.state != ReachabilityState.UNREACHABLE
 
     /** Whether a task may be planned here now. */
     fun open(
@@ -252,25 +255,25 @@
         freshMs: Long,
     ): Boolean =
         state == MachineState.UP &&
-            takenAtMs == null &&
-            termSeen >= neededTerm &&
-            hearing.sure &&
-            nowMs >= avoidUntilMs &&
-            nowMs >= setAsideUntilMs &&
-            nowMs - checkedInAtMs < freshMs
+            terminationAtMs == null &&
+            termSeen >= requiredTerm &&
+            reachability.isReachable &&
+            nowMs >= backoffUntilMs &&
+            nowMs >= quarantinedUntilMs &&
+            nowMs - lastHeartbeatAtMs < freshMs
 
     companion object {
         const val NEVER = Long.MIN_VALUE / 4
         private const val EPSILON = 1e-6
         private val allowed =
             mapOf(
-                MachineState.AWAITED to setOf(MachineState.UP, MachineState.CONDEMNED, MachineState.GONE, MachineState.AWAY),
-                MachineState.UP to setOf(MachineState.SILENT, MachineState.CONDEMNED, MachineState.GONE, MachineState.AWAY),
-                MachineState.SILENT to setOf(MachineState.UP, MachineState.CONDEMNED, MachineState.GONE, MachineState.AWAY),
-                MachineState.CONDEMNED to setOf(MachineState.UP, MachineState.RETURNING, MachineState.GONE),
-                MachineState.RETURNING to setOf(MachineState.CONDEMNED, MachineState.GONE),
-                MachineState.GONE to emptySet(),
-                MachineState.AWAY to setOf(MachineState.AWAITED, MachineState.GONE),
+                MachineState.PROVISIONING to setOf(MachineState.UP, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
+                MachineState.UP to setOf(MachineState.UNRESPONSIVE, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
+                MachineState.UNRESPONSIVE to setOf(MachineState.UP, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
+                MachineState.RELEASING to setOf(MachineState.UP, MachineState.TERMINATING, MachineState.TERMINATED),
+                MachineState.TERMINATING to setOf(MachineState.RELEASING, MachineState.TERMINATED),
+                MachineState.TERMINATED to emptySet(),
+                MachineState.OWNED_ELSEWHERE to setOf(MachineState.PROVISIONING, MachineState.TERMINATED),
             )
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -7,7 +7,7 @@
 /** Looks at the clock for each machine: silence, leases that have certainly ended, machines that never come up or fail what they get. */
 class MachineWatch(
     private val cluster: Cluster,
-    private val condemn: (Machine, Long, String) -> Unit,
+    private val scheduleRelease: (Machine, Long, String) -> Unit,
     private val listLagMs: () -> Long,
 ) {
     private var startedAtMs = Machine.NEVER
@@ -15,81 +15,81 @@
     /** Looks at all machines. */
     fun look(nowMs: Long) {
         if (startedAtMs == Machine.NEVER) startedAtMs = nowMs
-        val silentByZone = HashMap<String, Int>()
+        val unresponsiveByZone = HashMap<String, Int>()
         val byZone = HashMap<String, Int>()
         for (m in cluster.machines.values) {
-            if (m.state == MachineState.AWAY || (m.heardAtMs == Machine.NEVER && m.attempts.isEmpty())) continue
+            if (m.state == MachineState.OWNED_ELSEWHERE || (m.lastContactAtMs == Machine.NEVER && m.attempts.isEmpty())) continue
             byZone.merge(m.zone, 1, Int::plus)
-            if (nowMs - m.heardAtMs > cluster.timings.freshReportMs) silentByZone.merge(m.zone, 1, Int::plus)
+            if (nowMs - m.lastContactAtMs > cluster.timings.heartbeatTimeoutMs) unresponsiveByZone.merge(m.zone, 1, Int::plus)
         }
-        val deaf = cluster.machines.values.count { it.state == MachineState.UP && it.hearing.state == ReachabilityState.DEAF }
+        val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
         // Many at once speak of the network, not of the machines.
-        val returnDeaf = deaf <= maxOf(Tuning.DEAF_FEW, (cluster.machines.size * Tuning.DEAF_SHARE).toInt())
+        val releaseUnreachable = unreachable <= maxOf(Tuning.DEAF_FEW, (cluster.machines.size * Tuning.DEAF_SHARE).toInt())
         for (m in cluster.machines.values.toList()) {
-            if (m.state == MachineState.UP) unheard(m, returnDeaf, nowMs)
+            if (m.state == MachineState.UP) watchReachability(m, releaseUnreachable, nowMs)
             when (m.state) {
-                MachineState.AWAITED -> awaited(m, nowMs, (silentByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
-                MachineState.UP -> if (nowMs - m.heardAtMs > cluster.timings.freshReportMs) m.moveTo(MachineState.SILENT, nowMs)
-                MachineState.SILENT -> silent(m, nowMs, (silentByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
+                MachineState.PROVISIONING -> pendingPredecessors(m, nowMs, (unresponsiveByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
+                MachineState.UP -> if (nowMs - m.lastContactAtMs > cluster.timings.heartbeatTimeoutMs) m.moveTo(MachineState.UNRESPONSIVE, nowMs)
+                MachineState.UNRESPONSIVE -> silent(m, nowMs, (unresponsiveByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
                 else -> {}
             }
             expire(m, nowMs)
-            val sick = m.blamed >= Tuning.SICK_FAILURES || m.suspects.size >= Tuning.SICK_SUSPECTS
-            if (m.state == MachineState.UP && sick) {
-                condemn(m, nowMs, "it fails what it is given")
+            val faulty = m.attributedFailures >= Tuning.SICK_FAILURES || m.suspectJobs.size >= Tuning.SICK_SUSPECTS
+            if (m.state == MachineState.UP && faulty) {
+                scheduleRelease(m, nowMs, "its tasks fail")
             }
         }
     }
 
     /** A machine that reports but does not hear is returned if that lasts, or if it holds what must not run any more. */
-    private fun unheard(
+    private fun watchReachability(
         m: Machine,
-        returnDeaf: Boolean,
+        releaseUnreachable: Boolean,
         nowMs: Long,
     ) {
-        if (!returnDeaf) return
-        if (m.hearing.state == ReachabilityState.DEAF && nowMs - m.hearing.sinceMs > Tuning.DEAF_RETURN_MS) {
-            return condemn(m, nowMs, "it has not heard us for ${(nowMs - m.hearing.sinceMs) / 1000} s")
+        if (!releaseUnreachable) return
+        if (m.reachability.state == ReachabilityState.UNREACHABLE && nowMs - m.reachability.sinceMs > Tuning.DEAF_RETURN_MS) {
+            return scheduleRelease(m, nowMs, "unreachable for ${(nowMs - m.reachability.sinceMs) / 1000} s")
         }
         val limit = cluster.settings.cancelS * 1000 * Tuning.CANCEL_SHARE
-        m.guests.unstopped(nowMs - limit.toLong())?.let { return condemn(m, nowMs, "${it.reported.task} of another share does not stop there") }
+        m.foreignTasks.notStopped(nowMs - limit.toLong())?.let { return scheduleRelease(m, nowMs, "${it.status.task} of another shard does not stop there") }
         if (m.count(AttemptState.STOPPING) == 0) return
-        m.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.withdrawn && nowMs - it.changedAtMs > limit }?.let {
-            condemn(m, nowMs, "${it.job.spec.id}/${it.index} is withdrawn and does not stop there")
+        m.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limit }?.let {
+            scheduleRelease(m, nowMs, "${it.job.spec.id}/${it.index} is cancelled and does not stop there")
         }
     }
 
-    private fun awaited(
+    private fun pendingPredecessors(
         m: Machine,
         nowMs: Long,
-        zoneSilent: Boolean,
+        zoneUnresponsive: Boolean,
     ) {
-        // What a plan names was up once. If it died before the take-over, only its return proves that its tasks are gone.
+        // What a plan names was up once. If it died before the failover, only its return proves that its tasks are gone.
         if (m.attempts.isNotEmpty() || m.adoptedAtMs != Machine.NEVER) {
             val limit =
                 when {
-                    m.guessed && m.attempts.isNotEmpty() -> cluster.timings.unlistedReturnMs
-                    zoneSilent -> Tuning.SILENT_ZONE_RETURN_MS
-                    m.adoptedAtMs != Machine.NEVER -> maxOf(cluster.timings.replayedReturnMs, listLagMs())
-                    else -> cluster.timings.replayedReturnMs
+                    m.provisional && m.attempts.isNotEmpty() -> cluster.timings.unlistedReleaseMs
+                    zoneUnresponsive -> Tuning.SILENT_ZONE_RETURN_MS
+                    m.adoptedAtMs != Machine.NEVER -> maxOf(cluster.timings.replayedReleaseMs, listLagMs())
+                    else -> cluster.timings.replayedReleaseMs
                 }
-            if (nowMs - maxOf(m.firstSeenAtMs, startedAtMs) > limit) condemn(m, nowMs, "it was in use and has not reported to this leader")
+            if (nowMs - maxOf(m.firstSeenAtMs, startedAtMs) > limit) scheduleRelease(m, nowMs, "in use, but no heartbeat has reached this leader")
             return
         }
         val patience = m.type.bootS * 1000 * Tuning.BOOT_PATIENCE + Tuning.BOOT_PATIENCE_MS
-        if (nowMs - m.firstSeenAtMs > patience && nowMs - startedAtMs > Tuning.BOOT_PATIENCE_MS) condemn(m, nowMs, "it never came up")
+        if (nowMs - m.firstSeenAtMs > patience && nowMs - startedAtMs > Tuning.BOOT_PATIENCE_MS) scheduleRelease(m, nowMs, "never came up")
     }
 
     private fun silent(
         m: Machine,
         nowMs: Long,
-        zoneSilent: Boolean,
+        zoneUnresponsive: Boolean,
     ) {
-        val taken = m.takenAtMs
-        val limit = if (zoneSilent) Tuning.SILENT_ZONE_RETURN_MS else cluster.timings.silentReturnMs
+        val taken = m.terminationAtMs
+        val limit = if (zoneUnresponsive) Tuning.SILENT_ZONE_RETURN_MS else cluster.timings.unresponsiveReleaseMs
         when {
-            taken != null && nowMs > taken + cluster.timings.freshReportMs -> condemn(m, nowMs, "its notice has run out and it is silent")
-            nowMs - m.heardAtMs > limit -> condemn(m, nowMs, "silent for ${(nowMs - m.heardAtMs) / 1000} s")
+            taken != null && nowMs > taken + cluster.timings.heartbeatTimeoutMs -> scheduleRelease(m, nowMs, "termination notice ran out, unresponsive")
+            nowMs - m.lastContactAtMs > limit -> scheduleRelease(m, nowMs, "unresponsive for ${(nowMs - m.lastContactAtMs) / 1000} s")
         }
     }
 
@@ -101,16 +101,16 @@
         m: Machine,
         nowMs: Long,
     ) {
-        if (m.attempts.isEmpty() || m.state == MachineState.AWAY || !leaseEnded(m, nowMs)) return
+        if (m.attempts.isEmpty() || m.state == MachineState.OWNED_ELSEWHERE || !leaseExpired(m, nowMs)) return
         for (a in m.attempts.toList()) {
-            // Planned in the season that has ended: a start still under way names that season and is refused.
-            cluster.release(a, nowMs, "lease expired, silent for ${(nowMs - m.heardAtMs) / 1000} s")
+            // Planned in the incarnation that has ended: a start still under way names that incarnation and is refused.
+            cluster.release(a, nowMs, "lease expired, unresponsive for ${(nowMs - m.lastContactAtMs) / 1000} s")
         }
     }
 
     /** Whether the lease that [m] had from this leader has certainly ended. */
-    fun leaseEnded(
+    fun leaseExpired(
         m: Machine,
         nowMs: Long,
-    ) = cluster.heardOurs(m) && m.answeredAtMs != Machine.NEVER && nowMs - m.answeredAtMs > cluster.timings.leaseEndedMs
+    ) = cluster.hasSeenOurToken(m) && m.leaseRenewedAtMs != Machine.NEVER && nowMs - m.leaseRenewedAtMs > cluster.timings.leaseExpiryMs
 }
--- a/src/main/kotlin/mintfield/core/fleet/ReturnedMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
@@ -7,7 +7,7 @@
  * a machine that is gone: taken for one that boots, it would count as room to come. Names are kept by age and not by number,
  * so that a wave in which thousands are taken loses none.
  */
-class ReturnedMachines {
+class ReleasedMachines {
     private val returnedAtMs = LinkedHashMap<String, Long>()
 
     /** How many names are kept. */
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -5,21 +5,21 @@
 import mintfield.core.fleet.Machine
 
 /** What is believed of a job, by how its tasks end. */
-enum class Belief {
+enum class JobHealth {
     /** No task has succeeded or failed often enough to tell. */
-    UNTRIED,
+    UNKNOWN,
 
     /** A task is done, or has run for much longer than others took to fail: failures are their machines'. */
-    SOUND,
+    HEALTHY,
 
     /** It fails wherever it is tried, as a job submitted with a mistake does: it is tried with few tasks, ever more slowly. */
-    DOUBTED,
+    SUSPECT,
 }
 
 /**
  * Whether a failure is the job's or the machine's. The first failures of a job accuse both. Once a task of it succeeds, the
  * machines that failed it are blamed; once it has failed on several machines with no success anywhere, they are cleared.
- * Without that, two broken jobs on one rack condemned it, and a broken job of hundreds of tasks took that many slots and
+ * Without that, two broken jobs on one rack scheduled for release it, and a broken job of hundreds of tasks took that many slots and
  * image fetches with every try.
  */
 class FailureAttribution(
@@ -32,10 +32,10 @@
         nowMs: Long,
     ) {
         m.failures = 0
-        m.blamed = 0
-        m.suspects.clear()
+        m.attributedFailures = 0
+        m.suspectJobs.clear()
         job.failures = 0
-        if (job.belief != Belief.SOUND) clear(job, nowMs)
+        if (job.health != JobHealth.HEALTHY) clear(job, nowMs)
     }
 
     /** A task of [job] failed on [m], [afterMs] after it was first seen to run. */
@@ -49,26 +49,26 @@
         job.failedOn.add(m.id)
         job.longestFailMs = maxOf(job.longestFailMs, afterMs)
         job.notBeforeMs = nowMs + Tuning.FAILURE_PAUSE_MS
-        when (job.belief) {
-            Belief.SOUND -> {
+        when (job.health) {
+            JobHealth.HEALTHY -> {
                 m.failures++
-                m.blamed++
+                m.attributedFailures++
             }
 
-            Belief.DOUBTED -> {
-                job.notBeforeMs = nowMs + minOf(Tuning.TRIAL_PAUSE_MS shl minOf(job.trials++, MOST_DOUBLINGS), Tuning.TRIAL_PAUSE_MAX_MS)
+            JobHealth.SUSPECT -> {
+                job.notBeforeMs = nowMs + minOf(Tuning.TRIAL_PAUSE_MS shl minOf(job.probes++, MOST_DOUBLINGS), Tuning.TRIAL_PAUSE_MAX_MS)
                 return
             }
 
-            Belief.UNTRIED -> {
+            JobHealth.UNKNOWN -> {
                 m.failures++
-                m.suspects.add(job.id)
-                job.accused.merge(m, 1, Int::plus)
-                cluster.troubled.add(job)
-                if (job.accused.keys.count { it.blamed == 0 } >= Tuning.BAD_JOB_MACHINES) return doubt(job, nowMs)
+                m.suspectJobs.add(job.id)
+                job.failuresByMachine.merge(m, 1, Int::plus)
+                cluster.unprovenJobs.add(job)
+                if (job.failuresByMachine.keys.count { it.attributedFailures == 0 } >= Tuning.BAD_JOB_MACHINES) return markSuspect(job, nowMs)
             }
         }
-        if (m.failures >= Tuning.SICK_FAILURES && nowMs >= m.setAsideUntilMs) setAside(m, nowMs)
+        if (m.failures >= Tuning.SICK_FAILURES && nowMs >= m.quarantinedUntilMs) setAside(m, nowMs)
     }
 
     /** A machine that fails what it is given would, being empty, draw ever more tasks. One job alone is as likely at fault. */
@@ -76,27 +76,27 @@
         m: Machine,
         nowMs: Long,
     ) {
-        val sure = m.blamed > 0 || m.suspects.size >= 2
-        val whose = "${m.blamed} of jobs that succeed elsewhere, the rest of ${m.suspects.size} unproven ones"
-        log("${m.id} fails ${m.failures} tasks in a row, $whose: set aside${if (sure) "" else " for a moment"}")
-        m.setAsideUntilMs = nowMs + if (sure) Tuning.SICK_PAUSE_MS else Tuning.SUSPECT_PAUSE_MS
+        val sure = m.attributedFailures > 0 || m.suspectJobs.size >= 2
+        val whose = "${m.attributedFailures} attributed to it, the rest to ${m.suspectJobs.size} unproven jobs"
+        log("${m.id} fails ${m.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
+        m.quarantinedUntilMs = nowMs + if (sure) Tuning.SICK_PAUSE_MS else Tuning.SUSPECT_PAUSE_MS
     }
 
-    private fun doubt(
+    private fun markSuspect(
         job: Job,
         nowMs: Long,
     ) {
-        log("${job.id} fails everywhere, ${job.failures} times on ${job.failedOn.size} machines: tried with few tasks from now on")
-        job.believe(Belief.DOUBTED)
+        log("${job.id}: suspect, failed ${job.failures} times on ${job.failedOn.size} machines: probed with few tasks from now on")
+        job.changeHealth(JobHealth.SUSPECT)
         job.notBeforeMs = nowMs + Tuning.TRIAL_PAUSE_MS
-        for ((m, times) in job.accused) {
-            if (!m.suspects.remove(job.id)) continue
+        for ((m, times) in job.failuresByMachine) {
+            if (!m.suspectJobs.remove(job.id)) continue
             m.failures = maxOf(0, m.failures - times)
-            if (m.suspects.isEmpty() && m.blamed == 0) m.setAsideUntilMs = nowMs
+            if (m.suspectJobs.isEmpty() && m.attributedFailures == 0) m.quarantinedUntilMs = nowMs
         }
-        job.accused.clear()
+        job.failuresByMachine.clear()
         // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
-        job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job fails everywhere", quietly = true) }
+        job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
     }
 
     /** The job can succeed, so the machines that failed it, and have not succeeded since, are to blame. */
@@ -104,32 +104,32 @@
         job: Job,
         nowMs: Long,
     ) {
-        if (job.belief == Belief.DOUBTED) log("${job.id} succeeds: it goes on in full")
-        job.believe(Belief.SOUND)
-        cluster.troubled.remove(job)
+        if (job.health == JobHealth.SUSPECT) log("${job.id}: healthy, it runs in full again")
+        job.changeHealth(JobHealth.HEALTHY)
+        cluster.unprovenJobs.remove(job)
         job.notBeforeMs = nowMs
-        for ((m, times) in job.accused) if (m.suspects.remove(job.id)) m.blamed += times
-        job.accused.clear()
+        for ((m, times) in job.failuresByMachine) if (m.suspectJobs.remove(job.id)) m.attributedFailures += times
+        job.failuresByMachine.clear()
     }
 
     /** Looks whether tasks of jobs in doubt run for longer than what failed: then not the job is to blame. */
     fun look(nowMs: Long) {
-        if (cluster.troubled.isEmpty()) return
-        for (job in cluster.troubled.toList()) {
+        if (cluster.unprovenJobs.isEmpty()) return
+        for (job in cluster.unprovenJobs.toList()) {
             val enough = maxOf(Tuning.SOUND_RUN_MS, job.longestFailMs * FAIL_TIMES)
             if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enough }) clear(job, nowMs)
         }
     }
 
     /** An earlier leader had come to doubt the job. */
-    fun recall(
+    fun restore(
         job: Job,
-        trials: Int,
+        probes: Int,
     ) {
-        if (job.belief != Belief.UNTRIED || job.doneTasks > 0) return
-        job.believe(Belief.DOUBTED)
-        job.trials = trials
-        cluster.troubled.add(job)
+        if (job.health != JobHealth.UNKNOWN || job.doneTasks > 0) return
+        job.changeHealth(JobHealth.SUSPECT)
+        job.probes = probes
+        cluster.unprovenJobs.add(job)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -25,7 +25,7 @@
     /** Reported as running. */
     RUNNING,
 
-    /** To be gone: halted wherever it shows up, released once it is proven to be absent. */
+    /** To be gone: stopped wherever it shows up, released once it is proven to be absent. */
     STOPPING,
 
     /** Released by proof, or never sent. */
@@ -38,8 +38,8 @@
     val index: Int,
     val number: Long,
     val machine: Machine,
-    /** The worker's season in which the attempt was planned. It ends with that season. */
-    val season: Long,
+    /** The worker's incarnation in which the attempt was planned. It ends with that incarnation. */
+    val incarnation: Long,
 ) {
     var state = AttemptState.PLANNING
         private set
@@ -49,7 +49,7 @@
         private set
 
     /** Whether a start of this attempt may ever have left any controller. */
-    var everSent = false
+    var startSent = false
 
     /** The only place where an attempt changes its state. */
     fun moveTo(
@@ -87,9 +87,9 @@
 ) {
     val spec: JobSpec = accepted.spec
     val id: String get() = spec.id
-    var mark: Long = accepted.mark
+    var revision: Long = accepted.revision
     val acceptedAtMs: Long = accepted.acceptedAtMs
-    val fits: Set<String> = accepted.fits.toSet()
+    val compatibleTypes: Set<String> = accepted.compatibleTypes.toSet()
 
     /** Whether all its predecessors are done; before that it asks for nothing. To be changed by [becomeReady] only. */
     var ready = spec.predecessors.isEmpty()
@@ -103,30 +103,30 @@
     var priority: Priority = spec.priority
 
     /** Whether it must start now for the jobs that depend on it to meet their deadlines. */
-    var pressing = false
+    var deadlineCritical = false
 
     /**
      * The priority with which it displaces others: its own, unless it presses. Room comes free all the time, and it is the first to
      * get it; to stop what runs for a job that can wait a few seconds costs more than it gains.
      */
-    val displacingPriority: Priority get() = if (pressing) priority else spec.priority
+    val displacingPriority: Priority get() = if (deadlineCritical) priority else spec.priority
 
     /** When it must be done for the jobs that depend on it to meet their deadlines, time of day in milliseconds. */
     var inheritedDueMs: Double? = null
 
-    /** Whether a user was told that it is withdrawn, as its record or a sibling says. */
-    var withdrawn = accepted.withdrawn
+    /** Whether a user was told that it is cancelled, as its record or a peer says. */
+    var cancelled = accepted.cancelled
 
     /**
-     * Whether its record says so; only then has it a final state, and its record may go. A sibling may tell sooner, and of a job
-     * that is withdrawn with one that it depends on before anything of that is written.
+     * Whether its record says so; only then has it a final state, and its record may go. A peer may tell sooner, and of a job
+     * that is cancelled with one that it depends on before anything of that is written.
      */
-    var withdrawnInRecord = accepted.withdrawn
+    var cancellationRecorded = accepted.cancelled
 
     /** Done tasks; to be changed by [setDone] only. */
     val done = BitSet(spec.tasks)
 
-    /** The part of [done] that the state service has. */
+    /** The part of [done] that the store has. */
     val doneWritten = BitSet(spec.tasks)
     private val attempts = HashMap<Int, Attempt>()
 
@@ -139,13 +139,13 @@
     val changed = BitSet()
 
     /** Since when [changed] has held something that nobody hurries to write (steady milliseconds); 0 if nothing. */
-    var staleSinceMs = 0L
+    var unwrittenSinceMs = 0L
 
     /** Lowest number that may still wait. */
     private var firstWaiting = 0
 
     /** Round records of which parts still tell of this job, by shard. */
-    val told = HashMap<Int, MutableSet<KeptRound>>()
+    val coveringRounds = HashMap<Int, MutableSet<JournaledRound>>()
 
     /** Completed tasks whose run time was seen, and the sum of those times in seconds. */
     var measured = 0
@@ -155,29 +155,29 @@
     var failures = 0
     val failedOn = HashSet<String>()
 
-    /** While it is [Belief.UNTRIED]: machines that failed it, and how often. */
-    val accused = HashMap<Machine, Int>()
-    var belief = Belief.UNTRIED
+    /** While it is [JobHealth.UNKNOWN]: machines that failed it, and how often. */
+    val failuresByMachine = HashMap<Machine, Int>()
+    var health = JobHealth.UNKNOWN
         private set
 
-    /** Tries since it was doubted, and the longest that a task was seen to run before it failed (milliseconds). */
-    var trials = 0
+    /** Tries since it was suspect, and the longest that a task was seen to run before it failed (milliseconds). */
+    var probes = 0
     var longestFailMs = 0L
     var notBeforeMs = 0L
     var finishing = false
 
     /** When this leader first knew of it, and when the last of its tasks were planned and began to run: where time went. */
-    var seenAtMs = 0L
+    var firstSeenAtMs = 0L
     var lastPlanAtMs = 0L
     var lastRunAtMs = 0L
 
     /** It went before others to meet a strict aim; what its tasks hold counts towards the share for such jobs. */
-    var ahead = false
+    var boosted = false
 
     /** One of its records could not be read; it is kept as it is. */
     var unreadable = false
 
-    val shardCount: Int get() = (spec.tasks + Shards.TASKS - 1) / Shards.TASKS
+    val chunkCount: Int get() = (spec.tasks + TaskChunks.TASKS - 1) / TaskChunks.TASKS
 
     /** Its predecessors have been done since [sinceMs], a time of day in milliseconds; 0 if that is not known. */
     fun becomeReady(sinceMs: Long) {
@@ -239,41 +239,58 @@
     }
 
     /** Marks all that there is to tell of a shard as changed. */
-    fun changeAll(shard: Int) {
-        for (i in shard * Shards.TASKS until minOf(spec.tasks, (shard + 1) * Shards.TASKS)) if (toldOf(i)) changed.set(i)
+    fun markAllChanged(chunk: Int) {
+        for (i in chunk * TaskChunks.TASKS until minOf(spec.tasks, (chunk + 1) * TaskChunks.TASKS)) if (hasProgress(i)) changed.set(i)
     }
 
     /** How many tasks of a shard there is something to tell of: without a word a task counts as waiting. */
-    fun toTell(shard: Int): Int = (shard * Shards.TASKS until minOf(spec.tasks, (shard + 1) * Shards.TASKS)).count { toldOf(it) }
+    fun progressCount(chunk: Int): Int = (chunk * TaskChunks.TASKS until minOf(spec.tasks, (chunk + 1) * TaskChunks.TASKS)).count { hasProgress(it) }
 
-    private fun toldOf(index: Int) = done.get(index) || attempts.containsKey(index)
+    private fun hasProgress(index: Int) = done.get(index) || attempts.containsKey(index)
 
     /** The only place where the belief changes. */
-    fun believe(next: Belief) {
-        check(next != Belief.UNTRIED && belief != next) { "$id: $belief to $next" }
-        belief = next
-        trials = 0
+    fun changeHealth(next: JobHealth) {
+        check(next != JobHealth.UNKNOWN && health != next) { "$id: $health to $next" }
+        health = next
+        probes = 0
     }
 
     /** How many tasks are worth giving it at once: few while it has only failed. A gang goes as a whole. */
-    private val worth: Int
+    private val concurrencyCap: Int
         get() =
             when {
                 spec.shape == Shape.GANG -> Int.MAX_VALUE
-                belief == Belief.DOUBTED -> Tuning.TRIAL_TASKS
-                belief == Belief.UNTRIED && failures >= Tuning.CAREFUL_FAILURES -> Tuning.CAREFUL_TASKS
+                health == JobHealth.SUSPECT -> Tuning.TRIAL_TASKS
+                health == JobHealth.UNKNOWN && failures >= Tuning.CAREFUL_FAILURES -> Tuning.CAREFUL_TASKS
                 else -> Int.MAX_VALUE
             }
 
     /** Tasks that may be planned now. */
-    val askable: Int get() = if (!ready) 0 else minOf(waitingCount, maxOf(0, if (worth == Int.MAX_VALUE) Int.MAX_VALUE else worth - attempts.size))
+    val schedulableTasks: Int get() =
+        if (!ready) {
+            0
+        } else {
+            minOf(
+                waitingCount,
+                maxOf(
+                    0,
+                    if (concurrencyCap ==
+                        Int.MAX_VALUE
+                    ) {
+                        Int.MAX_VALUE
+                    } else {
+                        concurrencyCap - attempts.size
+                    },
+                ),
+            )
+        }
 
     /** Tasks that room should be reckoned for: what is broken needs none but for its tries. */
     val demand: Int get() =
         if (!ready) {
             0
-        } else if (belief == Belief.DOUBTED) {
-            minOf(spec.tasks - doneCount, worth)
+        } else if (health == JobHealth.SUSPECT) {
+            minOf(spec.tasks - doneCount, concurrencyCap)
         } else {
             spec.tasks - doneCount
         }
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -6,58 +6,58 @@
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
 
-/** An unfinished job's record in the state service, at the revision [mark]. */
+/** An unfinished job's record in the store, at the revision [revision]. */
 sealed interface JobRecord {
-    val mark: Long
+    val revision: Long
 
     /** A record as this version of the program writes it. */
     data class Readable(
         val job: AcceptedJob,
     ) : JobRecord {
-        override val mark get() = job.mark
+        override val revision get() = job.revision
     }
 
     /** A record that says nothing to this version of the program. The job is known, and nothing else is. */
     data class Unreadable(
-        override val mark: Long,
+        override val revision: Long,
     ) : JobRecord
 }
 
-/** One change of the state service that concerns the job [id], made at the revision [mark]. */
+/** One change of the store that concerns the job [id], made at the revision [revision]. */
 sealed interface JobChange {
     val id: String
-    val mark: Long
+    val revision: Long
 
     /** The record of an unfinished job was written. */
     data class Written(
         override val id: String,
         val record: JobRecord,
     ) : JobChange {
-        override val mark get() = record.mark
+        override val revision get() = record.revision
     }
 
     /** The record of an unfinished job was deleted. */
     data class Removed(
         override val id: String,
-        override val mark: Long,
+        override val revision: Long,
     ) : JobChange
 
     /** The job has got its final state. */
     data class Ended(
         override val id: String,
-        override val mark: Long,
+        override val revision: Long,
         val state: FinalState,
     ) : JobChange
 }
 
 /** What is known of a job. */
 sealed interface KnownJob {
-    /** It is done or withdrawn, for ever. */
+    /** It is done or cancelled, for ever. */
     data class Ended(
         val state: FinalState,
     ) : KnownJob
 
-    /** It has a record of an unfinished job; [job] may be withdrawn already. */
+    /** It has a record of an unfinished job; [job] may be cancelled already. */
     data class Live(
         val job: AcceptedJob,
     ) : KnownJob
@@ -74,7 +74,7 @@
 }
 
 /**
- * This node's replica of the jobs that the state service holds: all unfinished ones, and a cache of final states.
+ * This node's replica of the jobs that the store holds: all unfinished ones, and a cache of final states.
  *
  * Changes and snapshots may be read by several requests at once and arrive in any order. Of each job the newest revision counts,
  * so nothing here is ever replaced by something older, and [revision] never falls back.
@@ -97,7 +97,7 @@
     var revision = 0L
         private set
 
-    /** False until a first snapshot is complete, and while the state service has dropped the changes after [revision]. */
+    /** False until a first snapshot is complete, and while the store has dropped the changes after [revision]. */
     var loaded = false
         private set
 
@@ -117,11 +117,11 @@
         return if (id in unreadable) KnownJob.Unreadable else null
     }
 
-    /** Whether the record of job [id] at [mark] is known as one that cannot be read. */
+    /** Whether the record of job [id] at [revision] is known as one that cannot be read. */
     fun isUnreadable(
         id: String,
-        mark: Long,
-    ) = unreadable[id] == mark
+        revision: Long,
+    ) = unreadable[id] == revision
 
     /** Caches the final state of job [id]. */
     fun ended(
@@ -141,7 +141,7 @@
         upTo: Long,
     ) {
         val known = revision
-        changes.filter { it.mark > known }.sortedBy { it.mark }.forEach(::apply)
+        changes.filter { it.revision > known }.sortedBy { it.revision }.forEach(::apply)
         revision = maxOf(known, upTo)
     }
 
@@ -156,7 +156,7 @@
         return Snapshot()
     }
 
-    /** All unfinished jobs as the state service lists them. Pages read later may show later changes. */
+    /** All unfinished jobs as the store lists them. Pages read later may show later changes. */
     inner class Snapshot internal constructor() : AutoCloseable {
         private val found = HashMap<String, JobRecord>()
         private var firstRevision: Long? = null
@@ -173,9 +173,9 @@
         /** All pages have been read: what they show and the replica does not is taken over. */
         fun complete() {
             val readAt = checkNotNull(firstRevision) { "a snapshot without a page" }
-            found.forEach { (id, record) -> if (record.mark > (removedAt[id] ?: 0)) write(id, record) }
+            found.forEach { (id, record) -> if (record.revision > (removedAt[id] ?: 0)) write(id, record) }
             // What came later than the first page may have been missed by the pages; the next changes tell its fate.
-            val gone = (liveJobs.keys + unreadable.keys).filter { it !in found && markOf(it) <= readAt }
+            val gone = (liveJobs.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
             gone.forEach(::remove)
             revision = maxOf(revision, readAt)
             loaded = true
@@ -199,7 +199,7 @@
         id: String,
         record: JobRecord,
     ) {
-        if (record.mark <= markOf(id)) return
+        if (record.revision <= revisionOf(id)) return
         when (record) {
             is JobRecord.Readable -> {
                 unreadable.remove(id)
@@ -207,13 +207,13 @@
                 dependencies.written(record.job)
                 listener?.changed(record.job)
             }
-            is JobRecord.Unreadable -> unreadable[id] = record.mark
+            is JobRecord.Unreadable -> unreadable[id] = record.revision
         }
     }
 
     private fun removed(change: JobChange.Removed) {
-        if (openSnapshots > 0) removedAt[change.id] = change.mark
-        if (change.mark > markOf(change.id)) remove(change.id)
+        if (openSnapshots > 0) removedAt[change.id] = change.revision
+        if (change.revision > revisionOf(change.id)) remove(change.id)
     }
 
     private fun remove(id: String) {
@@ -223,5 +223,5 @@
         listener?.removed(id)
     }
 
-    private fun markOf(id: String): Long = maxOf(liveJobs[id]?.mark ?: 0, unreadable[id] ?: 0)
+    private fun revisionOf(id: String): Long = maxOf(liveJobs[id]?.revision ?: 0, unreadable[id] ?: 0)
 }
--- a/src/main/kotlin/mintfield/core/jobs/RoundLedger.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -10,15 +10,15 @@
  * Round records: takes them up in a replay, says what the next ones must tell, and which are needed no more. A record is
  * needed for as long as it alone tells something of a shard of a job that lives.
  */
-class RoundLedger(
+class PlanJournal(
     private val cluster: Cluster,
     private val fleet: FleetManager,
 ) {
     /** Keys of records that tell nothing any more; they go when there is room, and a successor finds what is left of them. */
-    val leftOver = LinkedHashSet<String>()
+    val obsoleteRounds = LinkedHashSet<String>()
 
     /** Round records in the store, the oldest first. */
-    private val rounds = LinkedHashMap<String, KeptRound>()
+    private val rounds = LinkedHashMap<String, JournaledRound>()
     private var number = 0L
 
     /**
@@ -28,20 +28,20 @@
     fun replay(
         key: String,
         record: RoundRecord,
-        mark: Long,
+        revision: Long,
         nowMs: Long,
         keep: Boolean = false,
     ) {
-        val kept = KeptRound(key, mark, nowMs)
+        val kept = JournaledRound(key, revision, nowMs)
         for (part in record.parts) {
             val job = cluster.jobs[part.job] ?: continue
-            part.freed.forEach { i -> job.attempt(i)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) } }
+            part.released.forEach { i -> job.attempt(i)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) } }
             part.plans.forEach { replayPlan(job, it, nowMs) }
             part.done.forEach { replayDone(job, it, nowMs) }
-            need(kept, job, part.shard)
+            cover(kept, job, part.chunk)
         }
         if (keep) return
-        if (kept.needed.isEmpty()) leftOver.add(key) else rounds[key] = kept
+        if (kept.needed.isEmpty()) obsoleteRounds.add(key) else rounds[key] = kept
     }
 
     private fun replayDone(
@@ -64,48 +64,48 @@
         for (i in g.indices) {
             if (i >= job.spec.tasks || job.done.get(i)) continue
             job.attempt(i)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) }
-            if (g.season < m.season) continue
-            val a = cluster.occupy(job, i, g.attempt, m, g.season)
-            a.everSent = true
+            if (g.incarnation < m.incarnation) continue
+            val a = cluster.occupy(job, i, g.attempt, m, g.incarnation)
+            a.startSent = true
             a.moveTo(AttemptState.PLANNED, nowMs)
         }
     }
 
-    private fun need(
-        kept: KeptRound,
+    private fun cover(
+        kept: JournaledRound,
         job: Job,
-        shard: Int,
+        chunk: Int,
     ) {
-        kept.needed.add(job.id to shard)
-        job.told.getOrPut(shard) { HashSet() }.add(kept)
+        kept.needed.add(job.id to chunk)
+        job.coveringRounds.getOrPut(chunk) { HashSet() }.add(kept)
     }
 
-    /** What rounds before [mark] told of the shard is not needed any more; a round of which nothing is needed goes. */
-    fun unneeded(
+    /** What rounds before [revision] told of the shard is not needed any more; a round of which nothing is needed goes. */
+    fun superseded(
         job: Job,
-        shard: Int,
-        mark: Long,
+        chunk: Int,
+        revision: Long,
     ) {
-        val kept = job.told[shard] ?: return
+        val kept = job.coveringRounds[chunk] ?: return
         kept.removeAll { round ->
-            if (round.mark >= mark) return@removeAll false
-            round.needed.remove(job.id to shard)
-            if (round.needed.isEmpty() && rounds.remove(round.key) != null) leftOver.add(round.key)
+            if (round.revision >= revision) return@removeAll false
+            round.needed.remove(job.id to chunk)
+            if (round.needed.isEmpty() && rounds.remove(round.key) != null) obsoleteRounds.add(round.key)
             true
         }
-        if (kept.isEmpty()) job.told.remove(shard)
+        if (kept.isEmpty()) job.coveringRounds.remove(chunk)
     }
 
-    /** A machine that a plan names but nobody has described: its type is learned later, from its reports or the list. */
+    /** A machine that a plan names but nobody has described: its type is learned later, from its heartbeats or the list. */
     private fun unknownMachine(
         id: String,
         job: Job,
         nowMs: Long,
     ): Machine? {
-        val type = job.fits.firstNotNullOfOrNull { cluster.types[it] } ?: cluster.types.values.firstOrNull() ?: return null
+        val type = job.compatibleTypes.firstNotNullOfOrNull { cluster.types[it] } ?: cluster.types.values.firstOrNull() ?: return null
         val zone = job.spec.zone ?: type.zones.firstOrNull() ?: return null
-        if (!cluster.ownership.owns(id)) return fleet.away(id, type, zone, nowMs)
-        return fleet.machine(id, type.name, zone, false, nowMs)?.also { it.guessed = true }
+        if (!cluster.ownership.owns(id)) return fleet.ownedElsewhere(id, type, zone, nowMs)
+        return fleet.machine(id, type.name, zone, false, nowMs)?.also { it.provisional = true }
     }
 
     /**
@@ -119,18 +119,18 @@
         nowMs: Long,
     ): Int {
         if (room <= 0) return 0
-        val open = cluster.jobs.values.filter { !it.changed.isEmpty && !it.withdrawn && !it.finishing && !it.unreadable && !it.allDone }
-        val due = open.any { it.planning || (it.staleSinceMs > 0 && nowMs - it.staleSinceMs >= patienceMs) }
+        val open = cluster.jobs.values.filter { !it.changed.isEmpty && !it.cancelled && !it.finishing && !it.unreadable && !it.allDone }
+        val due = open.any { it.planning || (it.unwrittenSinceMs > 0 && nowMs - it.unwrittenSinceMs >= patienceMs) }
         if (!due) return 0
-        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.staleSinceMs })
+        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwrittenSinceMs })
         val maxBytes = (cluster.limits.valueBytes * Tuning.VALUE_FILL).toInt()
         val most = minOf(room, MAX_ROUND_VALUES)
-        val records = Rounds.take(order, maxBytes, most, mostJobs())
+        val records = RoundPacker.take(order, maxBytes, most, mostJobs())
         for (record in records) {
             val jobs = record.parts.mapTo(LinkedHashSet()) { it.job }.map { cluster.jobs.getValue(it) }
             writes.add(Write.RecordRound("${cluster.firstTerm}-${++number}", record, jobs))
         }
-        for (job in order) if (job.changed.isEmpty) job.staleSinceMs = 0
+        for (job in order) if (job.changed.isEmpty) job.unwrittenSinceMs = 0
         return records.size
     }
 
@@ -145,10 +145,10 @@
             if (round.refreshed) continue
             round.refreshed = true
             left--
-            for ((id, shard) in round.needed) {
+            for ((id, chunk) in round.needed) {
                 val job = cluster.jobs[id] ?: continue
-                job.changeAll(shard)
-                if (job.staleSinceMs == 0L) job.staleSinceMs = nowMs
+                job.markAllChanged(chunk)
+                if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
             }
         }
     }
@@ -164,8 +164,8 @@
             if (w !is Write.RecordRound) continue
             for (part in w.record.parts) {
                 val job = cluster.jobs[part.job] ?: continue
-                Rounds.putBack(job, part)
-                if (job.staleSinceMs == 0L) job.staleSinceMs = nowMs
+                RoundPacker.putBack(job, part)
+                if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
             }
         }
     }
@@ -175,7 +175,7 @@
         revision: Long,
         nowMs: Long,
     ) {
-        val kept = KeptRound(write.key, revision, nowMs)
+        val kept = JournaledRound(write.key, revision, nowMs)
         for (part in write.record.parts) {
             val job = cluster.jobs[part.job] ?: continue
             part.done.forEach { job.doneWritten.set(it) }
@@ -185,10 +185,10 @@
                     if (a.state == AttemptState.PLANNING) a.moveTo(AttemptState.PLANNED, nowMs)
                 }
             }
-            need(kept, job, part.shard)
-            if (part.full) unneeded(job, part.shard, revision)
+            cover(kept, job, part.chunk)
+            if (part.full) superseded(job, part.chunk, revision)
         }
-        if (kept.needed.isEmpty()) leftOver.add(write.key) else rounds[write.key] = kept
+        if (kept.needed.isEmpty()) obsoleteRounds.add(write.key) else rounds[write.key] = kept
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/core/jobs/Rounds.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
@@ -6,14 +6,14 @@
  */
 class RoundPart(
     val job: String,
-    val shard: Int,
+    val chunk: Int,
     val plans: List<PlannedGroup>,
     val done: List<Int>,
-    val freed: List<Int>,
+    val released: List<Int>,
     /** It tells all there is to tell of its shard, so that no earlier round is needed for it. */
     val full: Boolean = false,
 ) {
-    val indices: List<Int> get() = plans.flatMap { it.indices } + done + freed
+    val indices: List<Int> get() = plans.flatMap { it.indices } + done + released
 }
 
 /** The record of one round: a single value that tells of all the jobs it touched. */
@@ -22,10 +22,10 @@
 )
 
 /** A round record in the store, and how many of its parts are still needed. */
-class KeptRound(
+class JournaledRound(
     val key: String,
     /** Revision of its write. */
-    val mark: Long,
+    val revision: Long,
     val writtenAtMs: Long,
 ) {
     val needed = HashSet<Pair<String, Int>>()
@@ -38,7 +38,7 @@
  * Rounds are written as they are decided, each as one value for all of its jobs, since the store permits few writes. What
  * an old round still tells of jobs that live is told anew by a later one, until nothing of it is needed.
  */
-object Rounds {
+object RoundPacker {
     /** Characters of one value round its parts. */
     private const val FRAME = 20
 
@@ -57,8 +57,8 @@
             if (job.id !in seen && seen.size >= maxJobs) break
             var from = job.changed.nextSetBit(0)
             while (from >= 0) {
-                val shard = Shards.of(from)
-                val (part, size) = part(job, shard, maxBytes - FRAME)
+                val chunk = TaskChunks.of(from)
+                val (part, size) = part(job, chunk, maxBytes - FRAME)
                 if (bytes + size > maxBytes && parts.isNotEmpty()) {
                     records.add(RoundRecord(parts))
                     parts = ArrayList()
@@ -79,23 +79,23 @@
     /** What changed in a shard, or as much of it as [maxBytes] hold, and its size. */
     private fun part(
         job: Job,
-        shard: Int,
+        chunk: Int,
         maxBytes: Int,
     ): Pair<RoundPart, Int> {
-        val base = shard * Shards.TASKS
+        val base = chunk * TaskChunks.TASKS
         val groups = LinkedHashMap<Triple<String, Long, Long>, MutableList<Int>>()
         val done = ArrayList<Int>()
-        val freed = ArrayList<Int>()
+        val released = ArrayList<Int>()
         var bytes = job.id.length + PART_FRAME
         var i = job.changed.nextSetBit(base)
-        while (i >= 0 && i < base + Shards.TASKS && bytes + GROUP_BYTES < maxBytes) {
+        while (i >= 0 && i < base + TaskChunks.TASKS && bytes + GROUP_BYTES < maxBytes) {
             val a = job.attempt(i)
             if (job.done.get(i)) {
                 done.add(i)
             } else if (a == null) {
-                freed.add(i)
+                released.add(i)
             } else {
-                val group = Triple(a.machine.id, a.season, a.number)
+                val group = Triple(a.machine.id, a.incarnation, a.number)
                 if (group !in groups) bytes += a.machine.id.length + GROUP_BYTES
                 groups.getOrPut(group) { ArrayList() }.add(i)
             }
@@ -103,8 +103,8 @@
             i = job.changed.nextSetBit(i + 1)
         }
         val plans = groups.map { (k, v) -> PlannedGroup(k.first, k.second, k.third, v) }
-        val full = done.size + plans.sumOf { it.indices.size } == job.toTell(shard)
-        return RoundPart(job.id, shard, plans, done, freed, full) to bytes
+        val full = done.size + plans.sumOf { it.indices.size } == job.progressCount(chunk)
+        return RoundPart(job.id, chunk, plans, done, released, full) to bytes
     }
 
     /** Puts back what a record that was not written had taken. */
--- a/src/main/kotlin/mintfield/core/jobs/RunTimes.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RunTimes.kt
@@ -12,7 +12,7 @@
     /** Natural logarithm of truth over estimate, by class. */
     val ratios: Map<String, Double> get() = logRatio
 
-    fun recall(ratios: Map<String, Double>) = logRatio.putAll(ratios)
+    fun restore(ratios: Map<String, Double>) = logRatio.putAll(ratios)
 
     fun learn(
         job: Job,
--- a/src/main/kotlin/mintfield/core/jobs/Shards.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskChunks.kt
@@ -3,7 +3,7 @@
 /** Plan of some tasks on one machine, as a record holds it. */
 data class PlannedGroup(
     val machine: String,
-    val season: Long,
+    val incarnation: Long,
     val attempt: Long,
     val indices: List<Int>,
 )
@@ -12,7 +12,7 @@
  * A job's progress is told in shards of a fixed number of tasks, so that a job of any size fits values and
  * transactions of any store, and a change writes in proportion to what changed.
  */
-object Shards {
+object TaskChunks {
     /** Tasks a shard; even with every task on a machine of its own, two values of 8 KiB hold one. */
     const val TASKS = 192
 
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
@@ -12,8 +12,8 @@
 )
 
 /**
- * The jobs that this process has told users are cancelled, in the order of telling. Siblings read it: one that leads and that
- * the state service refuses learns here of what it would otherwise find out too late. [incarnation] tells this process from
+ * The jobs that this process has told users are cancelled, in the order of telling. Peers read it: one that leads and that
+ * the store refuses learns here of what it would otherwise find out too late. [incarnation] tells this process from
  * an earlier one of the same member, whose log is lost.
  */
 class CancellationLog(
@@ -26,7 +26,7 @@
         val page: Int,
     ) {
         companion object {
-            /** Each cancellation is a change of the state service, so there are no more of them than it permits. */
+            /** Each cancellation is a change of the store, so there are no more of them than it permits. */
             fun of(settings: Settings) =
                 Size(
                     kept = maxOf(Tuning.CANCELLATIONS_KEPT, (settings.stateWriteRps * settings.cancelS * Tuning.CANCELLATIONS_KEPT_TIMES).toInt()),
@@ -40,7 +40,7 @@
     private var first = 0L
 
     /** To be called before a user is told that [id] is cancelled. */
-    fun telling(id: String) {
+    fun append(id: String) {
         if (!kept.add(id)) return
         entries.addLast(id)
         if (entries.size <= size.kept) return
--- a/src/main/kotlin/mintfield/core/leadership/DirectReportReturn.kt
+++ b/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
@@ -3,11 +3,11 @@
 import mintfield.core.Tuning
 
 /**
- * Brings workers whose reports come through siblings back to the leader itself: through a sibling they depend on two
- * controllers, and when the leader stands still they find that out at each sibling in turn. After a cut all workers of a zone
+ * Brings workers whose heartbeats come through peers back to the leader itself: through a peer they depend on two
+ * controllers, and when the leader stands still they find that out at each peer in turn. After a cut all workers of a zone
  * come so; one at a time is sent to try, and when one is heard directly the others follow.
  */
-class DirectReportReturn(
+class DirectRouteRecovery(
     private val directFreshMs: Long,
 ) {
     private val directAtMs = HashMap<String, Long>()
@@ -15,15 +15,15 @@
     private val sentAtMs = HashMap<String, Long>()
 
     /** A worker of [zone] has reported here directly. */
-    fun heardDirectly(
+    fun directHeartbeat(
         zone: String,
         nowMs: Long,
     ) {
         directAtMs[zone] = nowMs
     }
 
-    /** Whether [machine] of [zone], whose report was relayed, is to come here itself from now on. */
-    fun shouldCome(
+    /** Whether [machine] of [zone], whose heartbeat was relayed, is to come here itself from now on. */
+    fun shouldConnectDirectly(
         machine: String,
         zone: String,
         nowMs: Long,
@@ -46,21 +46,21 @@
 
 /**
  * Where a worker goes that comes to a controller which cannot reach the leader. The next one in its order may be that leader,
- * standing still, which costs it 4 s; so it is sent to a sibling that is heard, once, and after that left to its own order,
+ * standing still, which costs it 4 s; so it is sent to a peer that is heard, once, and after that left to its own order,
  * as it may reach the leader itself.
  */
-class SiblingRedirects {
+class PeerRedirects {
     private val sentAtMs = HashMap<String, Long>()
 
     fun offer(
         machine: String,
-        sibling: String?,
+        peer: String?,
         nowMs: Long,
     ): String? {
-        if (sibling == null) return null
+        if (peer == null) return null
         val last = sentAtMs[machine]
         if (last != null && nowMs - last < Tuning.RELAY_AGAIN_MS) return null
         sentAtMs[machine] = nowMs
-        return sibling
+        return peer
     }
 }
--- a/src/main/kotlin/mintfield/core/leadership/IsolatedLeaderProbe.kt
+++ b/src/main/kotlin/mintfield/core/leadership/IsolatedLeaderProbe.kt
@@ -5,17 +5,17 @@
  * new leader stays there, and one that comes back has found none, so that its lease hangs on us alone and is renewed.
  */
 class IsolatedLeaderProbe(
-    private val sendOnMs: Long,
+    private val redirectIntervalMs: Long,
 ) {
     private val sentOnAtMs = HashMap<String, Long>()
 
     /** Whether the worker of [machine] is to look elsewhere now. */
-    fun sendOn(
+    fun shouldRedirect(
         machine: String,
         nowMs: Long,
     ): Boolean {
         val last = sentOnAtMs[machine]
-        if (last != null && nowMs - last < sendOnMs) return false
+        if (last != null && nowMs - last < redirectIntervalMs) return false
         sentOnAtMs[machine] = nowMs
         return true
     }
--- a/src/main/kotlin/mintfield/core/leadership/Isolation.kt
+++ b/src/main/kotlin/mintfield/core/leadership/Isolation.kt
@@ -2,24 +2,24 @@
 
 import mintfield.core.Tuning
 
-/** What a controller may not do because it is cut off, by what it hears of the state service and its siblings. */
+/** What a controller may not do because it is cut off, by what it hears of the store and its peers. */
 class Isolation(
-    private val store: StoreReach,
-    private val siblings: SiblingHearing,
+    private val store: StoreConnectivity,
+    private val peers: PeerFailureDetector,
 ) {
-    /** Cut off from the state service, and no sibling to be heard: whoever comes here had better go elsewhere. */
-    fun isCutOff(nowMs: Long): Boolean = store.cut(nowMs) && !siblings.hearsAny(nowMs)
+    /** Cut off from the store, and no peer to be heard: whoever comes here had better go elsewhere. */
+    fun isCutOff(nowMs: Long): Boolean = store.cut(nowMs) && !peers.isAnyReachable(nowMs)
 
-    /** Whether the state service has refused this controller for a while although it serves a sibling. */
-    fun isRefusedAlone(nowMs: Long): Boolean = store.unservedForLong(nowMs) && siblings.served(nowMs) != null
+    /** Whether the store has refused this controller for a while although it serves a peer. */
+    fun isRefusedAlone(nowMs: Long): Boolean = store.unservedForLong(nowMs) && peers.served(nowMs) != null
 
     /**
      * Whether a leader with [leaseLeftMs] of its lease left must send workers away. One past its lease goes on answering in an outage, so
-     * that the workers keep theirs. One that reaches neither the state service nor a sibling may be cut off alone: then its answers hold
+     * that the workers keep theirs. One that reaches neither the store nor a peer may be cut off alone: then its answers hold
      * workers that a successor waits for.
      */
-    fun sendsWorkersAway(
+    fun redirectsWorkers(
         leaseLeftMs: Long,
         nowMs: Long,
-    ): Boolean = leaseLeftMs < -Tuning.ISOLATED_MS && store.unservedForLong(nowMs) && !siblings.hearsAny(nowMs)
+    ): Boolean = leaseLeftMs < -Tuning.ISOLATED_MS && store.unservedForLong(nowMs) && !peers.isAnyReachable(nowMs)
 }
--- a/src/main/kotlin/mintfield/core/leadership/RenewalBound.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaseRenewalLimit.kt
@@ -5,10 +5,10 @@
 
 /**
  * For how long a leader may renew workers' leases without hearing of cancellations. A user may have been told of one at any
- * moment after the one up to which the leader knows them all ([CancellationHorizon]); what it renews must have lost its lease
+ * moment after the one up to which the leader knows them all ([CancellationWatermark]); what it renews must have lost its lease
  * before a task of that job counts as running for too long.
  */
-class RenewalBound(
+class LeaseRenewalLimit(
     settings: Settings,
 ) {
     /** Milliseconds from that moment to the last renewal of a worker. */
--- a/src/main/kotlin/mintfield/core/leadership/StoreReach.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -2,10 +2,10 @@
 
 import mintfield.core.Tuning
 
-/** Whether the state service serves this controller, by what became of its calls. */
-class StoreReach {
+/** Whether the store serves this controller, by what became of its calls. */
+class StoreConnectivity {
     private var unservedSinceMs: Long? = null
-    private var silentSinceMs: Long? = null
+    private var noAnswerSinceMs: Long? = null
 
     /** Whether it served the last call. */
     val served: Boolean get() = unservedSinceMs == null
@@ -13,24 +13,24 @@
     /** It did its work. */
     fun served() {
         unservedSinceMs = null
-        silentSinceMs = null
+        noAnswerSinceMs = null
     }
 
     /** It answered, and refused. */
     fun refused(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
-        silentSinceMs = null
+        noAnswerSinceMs = null
     }
 
     /** There was no answer. */
-    fun silent(nowMs: Long) {
+    fun noAnswer(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
-        silentSinceMs = silentSinceMs ?: nowMs
+        noAnswerSinceMs = noAnswerSinceMs ?: nowMs
     }
 
     /** Whether it has not served this controller for a while. */
     fun unservedForLong(nowMs: Long): Boolean = unservedSinceMs?.let { nowMs - it > Tuning.ALONE_REFUSED_MS } ?: false
 
     /** Whether nothing at all has come from it for a while: unlike an outage, in which it refuses, this is a cut. */
-    fun cut(nowMs: Long): Boolean = silentSinceMs?.let { nowMs - it > Tuning.ALONE_REFUSED_MS } ?: false
+    fun cut(nowMs: Long): Boolean = noAnswerSinceMs?.let { nowMs - it > Tuning.ALONE_REFUSED_MS } ?: false
 }
--- a/src/main/kotlin/mintfield/core/model/Job.kt
+++ b/src/main/kotlin/mintfield/core/model/Job.kt
@@ -32,24 +32,24 @@
 )
 
 /** What a user is told of a job. */
-enum class Stage { PENDING, RUNNING, DONE, WITHDRAWN }
+enum class JobPhase { PENDING, RUNNING, DONE, CANCELLED }
 
 /** How a job ended; never changes. [tasks] is how many of its tasks are done. */
 data class FinalState(
-    val stage: Stage,
+    val stage: JobPhase,
     val tasks: Int,
     /** Time of day in milliseconds; 0 if it was not recorded. */
     val endedAtMs: Long = 0,
 )
 
-/** A job as the state service has it: [mark] is its revision, [acceptedAtMs] the time of day of its acceptance. */
+/** A job as the store has it: [revision] is its revision, [acceptedAtMs] the time of day of its acceptance. */
 data class AcceptedJob(
     val spec: JobSpec,
-    val mark: Long,
+    val revision: Long,
     val acceptedAtMs: Long,
-    val withdrawn: Boolean,
+    val cancelled: Boolean,
     /** Recorded output of the `fits` step: the types that could hold a task when the job was accepted. */
-    val fits: List<String>,
+    val compatibleTypes: List<String>,
 )
 
 data class MachineType(
@@ -83,7 +83,7 @@
 }
 
 /** Types on which a task of [spec] could run at all. */
-fun fittingTypes(
+fun compatibleMachineTypes(
     spec: JobSpec,
     types: Collection<MachineType>,
 ): List<String> =
--- a/src/main/kotlin/mintfield/core/model/OperatorSettings.kt
+++ b/src/main/kotlin/mintfield/core/model/OperatorSettings.kt
@@ -1,20 +1,20 @@
 package mintfield.core.model
 
 import mintfield.core.Tuning
-import mintfield.core.ownership.SharingSettings
+import mintfield.core.ownership.ShardingSettings
 
 /** What operators may set for themselves, beyond what the platform hands over. */
 data class OperatorSettings(
     val logFormat: LogFormat = LogFormat.PLAIN,
     val leaderLeaseMs: Long = Tuning.LEADER_LEASE_MS,
     val headroom: Double = Tuning.HEADROOM,
-    val idleReturnMs: Long = Tuning.IDLE_RETURN_MS,
+    val idleReleaseMs: Long = Tuning.IDLE_RETURN_MS,
     /** Null: what follows from the workers' lease. */
-    val silentReturnMs: Long? = null,
+    val unresponsiveReleaseMs: Long? = null,
     /** Machines that the fleet is expected to grow to; null if that is not said. */
     val fleetMachines: Int? = null,
     /** How machines are shared; null if one leader owns all. */
-    val sharing: SharingSettings? = null,
+    val sharding: ShardingSettings? = null,
     /** The file to which moves of machines are written as spans; null if they are not traced. */
     val traceFile: String? = null,
 )
--- a/src/main/kotlin/mintfield/core/model/StateLimits.kt
+++ b/src/main/kotlin/mintfield/core/model/StateLimits.kt
@@ -1,6 +1,6 @@
 package mintfield.core.model
 
-/** What the state service permits. */
+/** What the store permits. */
 data class StateLimits(
     /** Puts and deletes in a second, of all controllers together. */
     val writeRps: Double,
@@ -22,7 +22,7 @@
 
 /**
  * The limits to keep to. The settings may name lower ones that will hold from some moment on, without notice: the first
- * transaction that the state service calls malformed shows that the moment has come. It was not executed, so what it held is
+ * transaction that the store calls malformed shows that the moment has come. It was not executed, so what it held is
  * written again within the lower limits. They stay in force for as long as the process runs.
  */
 class StateLimitsInForce(
--- a/src/main/kotlin/mintfield/core/ownership/Assignment.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Assignment.kt
@@ -31,11 +31,11 @@
     ) : Assignment
 }
 
-/** Whether the leader of [share] may act for a machine with this assignment. */
-fun Assignment?.entitles(share: String): Boolean =
+/** Whether the leader of [shard] may act for a machine with this assignment. */
+fun Assignment?.entitles(shard: String): Boolean =
     when (this) {
-        is Assignment.Owned -> owner == share
-        is Assignment.Releasing -> owner == share
+        is Assignment.Owned -> owner == shard
+        is Assignment.Releasing -> owner == shard
         is Assignment.Offered, null -> false
     }
 
@@ -45,13 +45,13 @@
 ) {
     UNKNOWN_MACHINE("unknown machine"),
     UNREADABLE("its assignment cannot be read"),
-    UNKNOWN_SHARE("unknown share"),
+    UNKNOWN_SHARD("unknown share"),
     UNKNOWN_OWNER("its owner is no share of the settings; it is left alone"),
     ALREADY_OWNED("the target owns it already"),
     ALREADY_MOVING("it is already moving"),
     ALREADY_ASSIGNED("it is assigned already"),
     NOT_MOVING("it is not moving"),
-    NOT_ITS_OWNER("another share owns it"),
+    NOT_OWNER("another share owns it"),
     NOT_ITS_TARGET("it is offered to another share"),
     TARGET_NOT_LIVE("the target has no leader"),
     TARGET_LIVE("the target has a leader"),
@@ -60,16 +60,16 @@
 
 /** What must be so of a share's leader key for a change to be carried out. */
 sealed interface LeaderCondition {
-    val share: String
+    val shard: String
 
     /** The one who makes the change leads the share, at the term that it knows. */
     data class Leads(
-        override val share: String,
+        override val shard: String,
     ) : LeaderCondition
 
     /** Nobody leads it. */
     data class Leaderless(
-        override val share: String,
+        override val shard: String,
     ) : LeaderCondition
 }
 
@@ -87,11 +87,11 @@
 }
 
 /** The shares as they are configured and live. */
-interface Shares {
-    fun isKnown(share: String): Boolean
+interface Shards {
+    fun isKnown(shard: String): Boolean
 
-    fun isLive(share: String): Boolean
+    fun isLive(shard: String): Boolean
 
-    /** Machines that [share] may give away without falling below its floor. */
-    fun spare(share: String): Int
+    /** Machines that [shard] may give away without falling below its floor. */
+    fun spare(shard: String): Int
 }
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentTable.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentTable.kt
@@ -2,9 +2,9 @@
 
 import mintfield.core.Tuning
 
-/** One block of the table as the state service holds it, at the revision [mark]; [assignments] is null if it cannot be read. */
+/** One block of the table as the store holds it, at the revision [revision]; [assignments] is null if it cannot be read. */
 class AssignmentBlock(
-    val mark: Long,
+    val revision: Long,
     val assignments: Map<String, Assignment>?,
 )
 
@@ -33,7 +33,7 @@
         val sinceRevision: Long,
     )
 
-    private val marks = LongArray(Tuning.ASSIGNMENT_BLOCKS)
+    private val blockRevisions = LongArray(Tuning.ASSIGNMENT_BLOCKS)
     private val unreadable = BooleanArray(Tuning.ASSIGNMENT_BLOCKS)
     private val entries = HashMap<String, Entry>()
 
@@ -49,14 +49,14 @@
     /** The machines that have an assignment. */
     val assigned: Set<String> get() = entries.keys
 
-    /** The machines that [share] owns, those that it is letting go included. */
-    fun machines(share: String): List<String> = entries.filterValues { it.assignment.entitles(share) }.keys.toList()
+    /** The machines that [shard] owns, those that it is letting go included. */
+    fun machines(shard: String): List<String> = entries.filterValues { it.assignment.entitles(shard) }.keys.toList()
 
-    /** How many machines [share] owns, those that it is letting go included. */
-    fun count(share: String): Int = entries.values.count { it.assignment.entitles(share) }
+    /** How many machines [shard] owns, those that it is letting go included. */
+    fun count(shard: String): Int = entries.values.count { it.assignment.entitles(shard) }
 
     /** The revision of the block that holds the assignment of [machine]; 0 if there is none yet. */
-    fun markOf(machine: String): Long = marks[blockOf(machine)]
+    fun revisionOf(machine: String): Long = blockRevisions[blockOf(machine)]
 
     fun of(machine: String): KnownAssignment {
         if (revision == 0L || unreadable[blockOf(machine)]) return KnownAssignment.Unknown
@@ -72,13 +72,13 @@
         number: Int,
         block: AssignmentBlock,
     ) {
-        if (block.mark <= marks[number]) return
-        marks[number] = block.mark
+        if (block.revision <= blockRevisions[number]) return
+        blockRevisions[number] = block.revision
         unreadable[number] = block.assignments == null
         val found = block.assignments ?: return
         entries.keys.removeAll { blockOf(it) == number && it !in found }
         for ((machine, assignment) in found) {
-            if (entries[machine]?.assignment != assignment) entries[machine] = Entry(assignment, block.mark)
+            if (entries[machine]?.assignment != assignment) entries[machine] = Entry(assignment, block.revision)
         }
         movingNow.keys.removeAll { blockOf(it) == number }
         found.filterTo(movingNow) { it.value !is Assignment.Owned }
--- a/src/main/kotlin/mintfield/core/ownership/ClaimPolicy.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ClaimPolicy.kt
@@ -16,8 +16,8 @@
  * without a word, and a machine that is listed again falls to the same share.
  */
 class WeightedClaims(
-    private val share: String,
-    private val all: List<ShareSettings>,
+    private val shard: String,
+    private val all: List<ShardSettings>,
     private val isLive: (String) -> Boolean,
 ) : ClaimPolicy {
     override fun takes(
@@ -25,13 +25,13 @@
         abandoned: Boolean,
     ): Boolean {
         val chosen = all.maxBy { score(machine, it) }.name
-        if (chosen == share) return true
-        return abandoned && !isLive(chosen) && all.first { it.name == share || isLive(it.name) }.name == share
+        if (chosen == shard) return true
+        return abandoned && !isLive(chosen) && all.first { it.name == shard || isLive(it.name) }.name == shard
     }
 
     private fun score(
         machine: String,
-        candidate: ShareSettings,
+        candidate: ShardSettings,
     ): Double {
         val hash = Hashing.murmur3_128().hashUnencodedChars("$machine ${candidate.name}").asLong()
         // Uniform between 0 and 1, without the ends.
--- a/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
+++ b/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
@@ -1,8 +1,8 @@
 package mintfield.core.ownership
 
-/** The controllers that operators have drained, as the state service holds them at revision [mark]; 0 if there is no record. */
+/** The controllers that operators have drained, as the store holds them at revision [revision]; 0 if there is no record. */
 data class DrainRecord(
-    val mark: Long,
+    val revision: Long,
     /** Null if the record cannot be read. */
     val members: Set<String>?,
 ) {
--- a/src/main/kotlin/mintfield/core/ownership/GuestExchange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
@@ -6,61 +6,61 @@
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Attempt
 import mintfield.core.jobs.AttemptState
-import mintfield.core.model.EndCause
-import mintfield.core.model.ReportedState
-import mintfield.core.model.ReportedTask
+import mintfield.core.model.ExitReason
 import mintfield.core.model.TaskId
+import mintfield.core.model.TaskState
+import mintfield.core.model.TaskStatus
 
 /** A task that the asking leader planned on a machine which is another share's now, and what it wants of it. */
-data class GuestRef(
+data class ForeignTaskRef(
     val task: TaskId,
     val attempt: Long,
-    val wish: Wish,
+    val action: Action,
 ) {
-    enum class Wish { TELL, HALT, CLEAR }
+    enum class Action { QUERY, STOP, ACKNOWLEDGE }
 }
 
 /** A question to the owner of [machine] about tasks there. */
-data class GuestQuery(
+data class ForeignTaskQuery(
     val machine: String,
-    val tasks: List<GuestRef>,
+    val tasks: List<ForeignTaskRef>,
 )
 
-sealed interface GuestAnswer {
+sealed interface ForeignTaskAnswer {
     /** Whoever was asked does not own the machine. */
-    data object NotItsOwner : GuestAnswer
+    data object NotOwner : ForeignTaskAnswer
 
     /** The worker has not reported under this owner's token yet: what is absent may still come. */
-    data object NotHeardYet : GuestAnswer
+    data object NoHeartbeatYet : ForeignTaskAnswer
 
-    /** What the worker's last report shows of the tasks; those that it does not show are absent for good. */
-    data class Told(
-        val present: List<ReportedTask>,
-    ) : GuestAnswer
+    /** What the worker's last heartbeat shows of the tasks; those that it does not show are absent for good. */
+    data class Status(
+        val present: List<TaskStatus>,
+    ) : ForeignTaskAnswer
 }
 
 /** The owner's side: answers what became of tasks that other shares' leaders have on its machines. */
-class GuestDesk(
+class ForeignTaskResponder(
     private val scheduler: Scheduler,
 ) {
     fun answer(
-        query: GuestQuery,
+        query: ForeignTaskQuery,
         nowMs: Long,
-    ): GuestAnswer {
+    ): ForeignTaskAnswer {
         val cluster = scheduler.cluster
         val m = cluster.machines[query.machine]
-        if (m == null || m.state == MachineState.AWAY || !cluster.ownership.owns(query.machine)) return GuestAnswer.NotItsOwner
-        if (!cluster.heardOurs(m) || m.lastReport == null) return GuestAnswer.NotHeardYet
-        if (scheduler.fleet.leaseEnded(m, nowMs)) return GuestAnswer.Told(emptyList())
+        if (m == null || m.state == MachineState.OWNED_ELSEWHERE || !cluster.ownership.owns(query.machine)) return ForeignTaskAnswer.NotOwner
+        if (!cluster.hasSeenOurToken(m) || m.lastHeartbeat == null) return ForeignTaskAnswer.NoHeartbeatYet
+        if (scheduler.fleet.leaseExpired(m, nowMs)) return ForeignTaskAnswer.Status(emptyList())
         for (ref in query.tasks) {
-            val guest = m.guests[ref.task]?.takeIf { it.reported.attempt == ref.attempt } ?: continue
-            if (ref.wish == GuestRef.Wish.HALT) guest.haltWanted = true
-            if (ref.wish == GuestRef.Wish.CLEAR) guest.clearWanted = true
-            m.quiet = false
+            val foreign = m.foreignTasks[ref.task]?.takeIf { it.status.attempt == ref.attempt } ?: continue
+            if (ref.action == ForeignTaskRef.Action.STOP) foreign.stopWanted = true
+            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreign.acknowledgeWanted = true
+            m.reconciled = false
         }
         val asked = query.tasks.associate { it.task to it.attempt }
-        return GuestAnswer.Told(
-            m.lastReport
+        return ForeignTaskAnswer.Status(
+            m.lastHeartbeat
                 ?.tasks
                 .orEmpty()
                 .filter { asked[it.task] == it.attempt },
@@ -69,7 +69,7 @@
 }
 
 /** The asking side: what a leader has planned on machines that are other shares' now, and how it learns what becomes of that. */
-class AwayTasks(
+class RemoteTasks(
     private val scheduler: Scheduler,
 ) {
     private class Ended(
@@ -83,59 +83,59 @@
     private var lastMs = Machine.NEVER
 
     /** The questions that are due, one for each machine. */
-    fun due(nowMs: Long): List<GuestQuery> {
+    fun due(nowMs: Long): List<ForeignTaskQuery> {
         if (!scheduler.loaded || nowMs - lastMs < Tuning.GUEST_QUERY_MS) return emptyList()
         lastMs = nowMs
-        val away =
+        val remoteMachines =
             scheduler.cluster.machines.values
-                .filter { it.state == MachineState.AWAY }
-        return (away.map { it.id } + ended.keys).distinct().map { GuestQuery(it, refs(it)) }.filter { it.tasks.isNotEmpty() }
+                .filter { it.state == MachineState.OWNED_ELSEWHERE }
+        return (remoteMachines.map { it.id } + ended.keys).distinct().map { ForeignTaskQuery(it, refs(it)) }.filter { it.tasks.isNotEmpty() }
     }
 
-    private fun refs(machine: String): List<GuestRef> {
+    private fun refs(machine: String): List<ForeignTaskRef> {
         val attempts =
             scheduler.cluster.machines[machine]
                 ?.attempts
                 .orEmpty()
-        val running = attempts.map { GuestRef(scheduler.cluster.taskId(it), it.number, wish(it)) }
+        val running = attempts.map { ForeignTaskRef(scheduler.cluster.taskId(it), it.number, action(it)) }
         val over =
             ended[machine]
                 ?.values
                 .orEmpty()
                 .filter { recorded(it) }
-                .map { GuestRef(it.task, it.attempt, GuestRef.Wish.CLEAR) }
+                .map { ForeignTaskRef(it.task, it.attempt, ForeignTaskRef.Action.ACKNOWLEDGE) }
         return running + over
     }
 
-    private fun wish(a: Attempt) = if (a.state == AttemptState.STOPPING) GuestRef.Wish.HALT else GuestRef.Wish.TELL
+    private fun action(a: Attempt) = if (a.state == AttemptState.STOPPING) ForeignTaskRef.Action.STOP else ForeignTaskRef.Action.QUERY
 
     private fun recorded(e: Ended): Boolean {
         val job = scheduler.cluster.jobs[e.task.job] ?: return true
-        return !e.result || job.withdrawn || job.doneWritten.get(e.task.index)
+        return !e.result || job.cancelled || job.doneWritten.get(e.task.index)
     }
 
     /** The owner of the machine asked about has answered [query]. */
     fun answered(
-        query: GuestQuery,
-        answer: GuestAnswer,
+        query: ForeignTaskQuery,
+        answer: ForeignTaskAnswer,
         nowMs: Long,
     ) {
-        if (answer !is GuestAnswer.Told) return
+        if (answer !is ForeignTaskAnswer.Status) return
         val present = answer.present.associateBy { it.task }
         for (ref in query.tasks) {
-            val told = present[ref.task]?.takeIf { it.attempt == ref.attempt }
-            if (ref.wish == GuestRef.Wish.CLEAR) {
-                if (told == null) forget(query.machine, ref.task)
+            val observed = present[ref.task]?.takeIf { it.attempt == ref.attempt }
+            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) {
+                if (observed == null) forget(query.machine, ref.task)
                 continue
             }
             val attempt = attempt(query.machine, ref) ?: continue
-            if (told?.state == ReportedState.ENDED) {
-                ended.getOrPut(query.machine) { HashMap() }[ref.task] = Ended(ref.task, ref.attempt, told.cause == EndCause.DONE)
+            if (observed?.state == TaskState.ENDED) {
+                ended.getOrPut(query.machine) { HashMap() }[ref.task] = Ended(ref.task, ref.attempt, observed.cause == ExitReason.DONE)
             }
-            scheduler.reports.toldByOwner(attempt, told, nowMs)
+            scheduler.heartbeats.statusFromOwner(attempt, observed, nowMs)
         }
         val m = scheduler.cluster.machines[query.machine]
-        if (m != null && m.state == MachineState.AWAY && m.attempts.isEmpty()) scheduler.cluster.machines.remove(m.id)
+        if (m != null && m.state == MachineState.OWNED_ELSEWHERE && m.attempts.isEmpty()) scheduler.cluster.machines.remove(m.id)
     }
 
     private fun forget(
@@ -149,9 +149,9 @@
 
     private fun attempt(
         machine: String,
-        ref: GuestRef,
+        ref: ForeignTaskRef,
     ): Attempt? {
         val a = scheduler.cluster.jobs[ref.task.job]?.attempt(ref.task.index) ?: return null
-        return a.takeIf { it.number == ref.attempt && it.machine.id == machine && it.machine.state == MachineState.AWAY }
+        return a.takeIf { it.number == ref.attempt && it.machine.id == machine && it.machine.state == MachineState.OWNED_ELSEWHERE }
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/Handover.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Handover.kt
@@ -7,7 +7,7 @@
 /**
  * The state machine of a machine's assignment, a function for each change. Every change is one transaction, guarded by the revision of
  * the block that holds the assignment, so of two at once only one is carried out. What follows from a state follows from what the
- * state service says alone: whoever leads a share next goes on from there.
+ * store says alone: whoever leads a share next goes on from there.
  *
  * ```
  * none --claim--> owned --order--> releasing --release--> offered --adopt--> owned by the target
@@ -21,17 +21,17 @@
     fun order(
         current: Assignment?,
         target: String,
-        shares: Shares,
+        shards: Shards,
         trace: String? = null,
     ): Step =
         when {
             current == null -> refuse(Refusal.UNKNOWN_MACHINE)
-            !shares.isKnown(target) -> refuse(Refusal.UNKNOWN_SHARE)
-            !shares.isKnown(current.owner) -> refuse(Refusal.UNKNOWN_OWNER)
+            !shards.isKnown(target) -> refuse(Refusal.UNKNOWN_SHARD)
+            !shards.isKnown(current.owner) -> refuse(Refusal.UNKNOWN_OWNER)
             current !is Owned -> refuse(Refusal.ALREADY_MOVING)
             current.owner == target -> refuse(Refusal.ALREADY_OWNED)
-            !shares.isLive(target) -> refuse(Refusal.TARGET_NOT_LIVE)
-            shares.spare(current.owner) <= 0 -> refuse(Refusal.BELOW_FLOOR)
+            !shards.isLive(target) -> refuse(Refusal.TARGET_NOT_LIVE)
+            shards.spare(current.owner) <= 0 -> refuse(Refusal.BELOW_FLOOR)
             else -> Step.To(Releasing(current.owner, target, trace))
         }
 
@@ -43,59 +43,59 @@
             is Releasing, is Offered -> Step.To(Owned(current.owner))
         }
 
-    /** The leader of [share], which has stopped acting for the machine, lets it go. */
+    /** The leader of [shard], which has stopped acting for the machine, lets it go. */
     fun release(
         current: Assignment?,
-        share: String,
+        shard: String,
     ): Step =
         when {
             current == null -> refuse(Refusal.UNKNOWN_MACHINE)
             current !is Releasing -> refuse(Refusal.NOT_MOVING)
-            current.owner != share -> refuse(Refusal.NOT_ITS_OWNER)
-            else -> Step.To(Offered(share, current.target, current.trace), LeaderCondition.Leads(share))
+            current.owner != shard -> refuse(Refusal.NOT_OWNER)
+            else -> Step.To(Offered(shard, current.target, current.trace), LeaderCondition.Leads(shard))
         }
 
-    /** The leader of [share] takes a machine that is offered to it. */
+    /** The leader of [shard] takes a machine that is offered to it. */
     fun adopt(
         current: Assignment?,
-        share: String,
+        shard: String,
     ): Step =
         when {
             current == null -> refuse(Refusal.UNKNOWN_MACHINE)
             current !is Offered -> refuse(Refusal.NOT_MOVING)
-            current.target != share -> refuse(Refusal.NOT_ITS_TARGET)
-            else -> Step.To(Owned(share), LeaderCondition.Leads(share))
+            current.target != shard -> refuse(Refusal.NOT_ITS_TARGET)
+            else -> Step.To(Owned(shard), LeaderCondition.Leads(shard))
         }
 
     /** The former owner takes back what it offered to a share that nobody leads. */
     fun takeBack(
         current: Assignment?,
-        share: String,
-        shares: Shares,
+        shard: String,
+        shards: Shards,
     ): Step =
         when {
             current == null -> refuse(Refusal.UNKNOWN_MACHINE)
             current !is Offered -> refuse(Refusal.NOT_MOVING)
-            current.owner != share -> refuse(Refusal.NOT_ITS_OWNER)
-            shares.isLive(current.target) -> refuse(Refusal.TARGET_LIVE)
-            else -> Step.To(Owned(share), LeaderCondition.Leaderless(current.target))
+            current.owner != shard -> refuse(Refusal.NOT_OWNER)
+            shards.isLive(current.target) -> refuse(Refusal.TARGET_LIVE)
+            else -> Step.To(Owned(shard), LeaderCondition.Leaderless(current.target))
         }
 
-    /** The leader of [share] takes a machine that has no owner: it rented it, or nobody else did. */
+    /** The leader of [shard] takes a machine that has no owner: it provisioned it, or nobody else did. */
     fun claim(
         current: Assignment?,
-        share: String,
-    ): Step = if (current == null) Step.To(Owned(share), LeaderCondition.Leads(share)) else refuse(Refusal.ALREADY_ASSIGNED)
+        shard: String,
+    ): Step = if (current == null) Step.To(Owned(shard), LeaderCondition.Leads(shard)) else refuse(Refusal.ALREADY_ASSIGNED)
 
-    /** The cloud has confirmed to the leader of [share] that the machine is gone. */
+    /** The cloud has confirmed to the leader of [shard] that the machine is gone. */
     fun drop(
         current: Assignment?,
-        share: String,
+        shard: String,
     ): Step =
         when {
             current == null -> refuse(Refusal.UNKNOWN_MACHINE)
-            current is Offered || current.owner != share -> refuse(Refusal.NOT_ITS_OWNER)
-            else -> Step.To(null, LeaderCondition.Leads(share))
+            current is Offered || current.owner != shard -> refuse(Refusal.NOT_OWNER)
+            else -> Step.To(null, LeaderCondition.Leads(shard))
         }
 
     private fun refuse(refusal: Refusal) = Step.Refused(refusal)
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-import mintfield.core.RentIntent
+import mintfield.core.ScaleOutIntent
 import mintfield.core.Scheduler
 import mintfield.core.Tuning
 import mintfield.core.fleet.Machine
@@ -26,7 +26,7 @@
     val blocks: Map<Int, BlockWrite>,
 ) {
     class BlockWrite(
-        val guardMark: Long,
+        val guardRevision: Long,
         val content: Map<String, Assignment>,
     )
 
@@ -38,30 +38,30 @@
  * what its scheduler works with. Everything follows from the table, so a new leader of the same share goes on where the last one was.
  */
 class HandoverAgent(
-    private val ownership: ShareOwnership,
+    private val ownership: ShardOwnership,
     private val table: AssignmentTable,
     private val scheduler: Scheduler,
-    private val shares: Shares,
+    private val shards: Shards,
     private val claimPolicy: ClaimPolicy,
     /** Which idle machines go to which share. */
-    private val gifts: (Long) -> Map<String, String> = { emptyMap() },
+    private val transfers: (Long) -> Map<String, String> = { emptyMap() },
     private val tracer: MoveTracer = MoveTracer.Off,
     private val log: (String) -> Unit,
 ) {
-    private val share = ownership.share
+    private val shard = ownership.shard
     private val cluster = scheduler.cluster
     private val fleet = scheduler.fleet
 
     /** Releases without an answer: the term under which each was sent. Until a higher one is in force it may yet be carried out. */
     private val inDoubt = HashMap<String, Long>()
     private val offeredSinceMs = HashMap<String, Long>()
-    private val rentedBy = HashMap<String, RentIntent>()
+    private val intentByMachine = HashMap<String, ScaleOutIntent>()
     private val toDrop = LinkedHashSet<String>()
-    private val times = MoveTimes(ownership.share, tracer)
+    private val times = MoveTimes(ownership.shard, tracer)
 
     init {
-        fleet.rentedNow = { intent, machines -> rented(intent, machines) }
-        fleet.returnedNow = { toDrop.add(it) }
+        fleet.onProvisioned = { intent, machines -> provisioned(intent, machines) }
+        fleet.onReleased = { toDrop.add(it) }
     }
 
     /** The next transaction, or null if nothing is to be changed. */
@@ -69,8 +69,8 @@
         if (!scheduler.loaded || table.revision == 0L) return null
         reconcile(nowMs)
         times.shown(table.moving, nowMs)
-        times.heard({ machine -> cluster.machines[machine]?.let(cluster::heardOurs) == true }, nowMs)
-        val wanted = (moves(nowMs) + claims(nowMs) + drops() + given(nowMs)).take(Tuning.ASSIGNMENT_CHANGES_AT_ONCE)
+        times.observeTokens({ machine -> cluster.machines[machine]?.let(cluster::hasSeenOurToken) == true }, nowMs)
+        val wanted = (moves(nowMs) + claims(nowMs) + drops() + transferred(nowMs)).take(Tuning.ASSIGNMENT_CHANGES_AT_ONCE)
         val transaction = transaction(wanted) ?: return null
         transaction.changes.forEach { if (it.kind == AssignmentChange.Kind.RELEASE) ownership.letGo(it.machine) }
         return transaction
@@ -84,7 +84,7 @@
             val content = blocks[number]?.content ?: table.blockWith(change.machine, table.assignment(change.machine)) ?: continue
             val next = LinkedHashMap(content)
             if (change.next == null) next.remove(change.machine) else next[change.machine] = change.next
-            blocks[number] = AssignmentTransaction.BlockWrite(table.markOf(change.machine), next)
+            blocks[number] = AssignmentTransaction.BlockWrite(table.revisionOf(change.machine), next)
             taken.add(change)
         }
         return if (taken.isEmpty()) null else AssignmentTransaction(taken, cluster.term, blocks)
@@ -96,11 +96,11 @@
         offeredSinceMs.keys.retainAll(table.moving.keys)
         return table.moving.mapNotNull { (machine, assignment) ->
             when {
-                assignment is Assignment.Releasing && assignment.owner == share ->
-                    if (mayLetGo(machine, nowMs)) change(AssignmentChange.Kind.RELEASE, machine, Handover.release(assignment, share)) else null
-                assignment is Assignment.Offered && assignment.target == share ->
-                    change(AssignmentChange.Kind.ADOPT, machine, Handover.adopt(assignment, share))
-                assignment is Assignment.Offered && assignment.owner == share -> takenBack(machine, assignment, nowMs)
+                assignment is Assignment.Releasing && assignment.owner == shard ->
+                    if (mayLetGo(machine, nowMs)) change(AssignmentChange.Kind.RELEASE, machine, Handover.release(assignment, shard)) else null
+                assignment is Assignment.Offered && assignment.target == shard ->
+                    change(AssignmentChange.Kind.ADOPT, machine, Handover.adopt(assignment, shard))
+                assignment is Assignment.Offered && assignment.owner == shard -> takenBack(machine, assignment, nowMs)
                 else -> null
             }
         }
@@ -114,7 +114,7 @@
     ): AssignmentChange? {
         val since = offeredSinceMs.getOrPut(machine) { nowMs }
         if (nowMs - since < Tuning.OFFER_PATIENCE_MS) return null
-        return change(AssignmentChange.Kind.TAKE_BACK, machine, Handover.takeBack(assignment, share, shares))
+        return change(AssignmentChange.Kind.TAKE_BACK, machine, Handover.takeBack(assignment, shard, shards))
     }
 
     private fun change(
@@ -125,7 +125,7 @@
 
     /**
      * Whether nothing stands against letting [machine] go: no plan whose write is under way, no direct command without an answer yet, and
-     * it is neither being returned nor given this leader's word that it is not answered. What was never sent is withdrawn; a start that
+     * it is neither being returned nor given this leader's word that it is not answered. What was never sent is cancelled; a start that
      * was sent stays planned until the new owner tells of it.
      */
     private fun mayLetGo(
@@ -135,39 +135,39 @@
         // Of a machine that is gone nothing is left to hand over but its assignment, and that ends.
         if (ownership.isLettingGo(machine) || machine in toDrop) return false
         val m = cluster.machines[machine] ?: return true
-        if (m.state == MachineState.CONDEMNED || m.state == MachineState.RETURNING || scheduler.disowning.isDisowned(machine)) return false
-        m.attempts.filter { it.state == AttemptState.PLANNED && !it.everSent }.forEach { cluster.stop(it, nowMs, "its machine is handed over") }
+        if (m.state == MachineState.RELEASING || m.state == MachineState.TERMINATING || scheduler.zoneFencing.isFenced(machine)) return false
+        m.attempts.filter { it.state == AttemptState.PLANNED && !it.startSent }.forEach { cluster.stop(it, nowMs, "its machine is handed over") }
         return !m.directInFlight && m.count(AttemptState.PLANNING) == 0
     }
 
     private fun claims(nowMs: Long): List<AssignmentChange> {
         ownership.toClaim.removeAll { it in table.assigned }
-        // Whoever rented a machine claims it itself; before the first claim of all nobody has rented any.
+        // Whoever provisioned a machine claims it itself; before the first claim of all nobody has provisioned any.
         val lagMs = if (table.assigned.isEmpty()) 0 else fleet.listLagMs()
         for ((machine, sinceMs) in fleet.ownerless) {
             val waitedMs = nowMs - sinceMs
             if (waitedMs >= lagMs && claimPolicy.takes(machine, waitedMs > lagMs + Tuning.ABANDONED_MS)) ownership.toClaim.add(machine)
         }
-        return ownership.toClaim.mapNotNull { change(AssignmentChange.Kind.CLAIM, it, Handover.claim(table.assignment(it), share)) }
+        return ownership.toClaim.mapNotNull { change(AssignmentChange.Kind.CLAIM, it, Handover.claim(table.assignment(it), shard)) }
     }
 
     private fun drops(): List<AssignmentChange> {
-        toDrop.removeAll { !table.assignment(it).entitles(share) }
-        return toDrop.mapNotNull { change(AssignmentChange.Kind.DROP, it, Handover.drop(table.assignment(it), share)) }
+        toDrop.removeAll { !table.assignment(it).entitles(shard) }
+        return toDrop.mapNotNull { change(AssignmentChange.Kind.DROP, it, Handover.drop(table.assignment(it), shard)) }
     }
 
-    private fun given(nowMs: Long): List<AssignmentChange> =
-        gifts(nowMs).mapNotNull { (machine, target) ->
-            val order = Handover.order(table.assignment(machine), target, shares, tracer.ordered(machine, share, target)) as? Step.To
-            order?.let { AssignmentChange(AssignmentChange.Kind.ORDER, machine, it.next, LeaderCondition.Leads(share)) }
+    private fun transferred(nowMs: Long): List<AssignmentChange> =
+        transfers(nowMs).mapNotNull { (machine, target) ->
+            val order = Handover.order(table.assignment(machine), target, shards, tracer.ordered(machine, shard, target)) as? Step.To
+            order?.let { AssignmentChange(AssignmentChange.Kind.ORDER, machine, it.next, LeaderCondition.Leads(shard)) }
         }
 
-    private fun rented(
-        intent: RentIntent,
+    private fun provisioned(
+        intent: ScaleOutIntent,
         machines: List<String>,
     ): Boolean {
         val unclaimed = machines.filter { table.assignment(it) == null }
-        unclaimed.forEach { rentedBy[it] = intent }
+        unclaimed.forEach { intentByMachine[it] = intent }
         ownership.toClaim.addAll(unclaimed)
         return unclaimed.isEmpty()
     }
@@ -215,9 +215,9 @@
     ) {
         ownership.toClaim.remove(machine)
         fleet.ownerless.remove(machine)
-        val intent = rentedBy.remove(machine)
+        val intent = intentByMachine.remove(machine)
         fleet.claimed(machine, intent, nowMs)
-        if (intent != null && intent !in rentedBy.values) fleet.spentIntents.add(intent.plea)
+        if (intent != null && intent !in intentByMachine.values) fleet.completedIntents.add(intent.idempotencyKey)
     }
 
     /** [transaction] was certainly not carried out. */
@@ -242,20 +242,20 @@
         table.assigned.filter { it !in cluster.machines && ownership.owns(it) && it !in toDrop }.forEach { fleet.assumed(it, nowMs) }
         for (m in cluster.machines.values.toList()) {
             val owned = ownership.owns(m.id)
-            if (m.state == MachineState.AWAY && owned) fleet.adopted(m.id, nowMs)
+            if (m.state == MachineState.OWNED_ELSEWHERE && owned) fleet.adopted(m.id, nowMs)
             if (leaves(m) && !owned && !ownership.isLettingGo(m.id)) fleet.handedOver(m.id, nowMs)
-            if (m.state == MachineState.AWAY && ownership.isGone(m.id)) gone(m, nowMs)
+            if (m.state == MachineState.OWNED_ELSEWHERE && ownership.isGone(m.id)) gone(m, nowMs)
         }
     }
 
-    private fun leaves(m: Machine) = m.state == MachineState.AWAITED || m.state == MachineState.UP || m.state == MachineState.SILENT
+    private fun leaves(m: Machine) = m.state == MachineState.PROVISIONING || m.state == MachineState.UP || m.state == MachineState.UNRESPONSIVE
 
     /** Its last owner has recorded that the cloud took it back, with all that was on it. */
     private fun gone(
         m: Machine,
         nowMs: Long,
     ) {
-        m.attempts.toList().forEach { cluster.release(it, nowMs, "its machine is gone") }
+        m.attempts.toList().forEach { cluster.release(it, nowMs, "its machine was released") }
         cluster.machines.remove(m.id)
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/MoveTracing.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MoveTracing.kt
@@ -9,11 +9,11 @@
         target: String,
     ): String?
 
-    /** [step] of the move with the context [trace] has ended after [tookMs], at the leader of [share]. */
+    /** [step] of the move with the context [trace] has ended after [tookMs], at the leader of [shard]. */
     fun ended(
         step: MoveStep,
         machine: String,
-        share: String,
+        shard: String,
         trace: String,
         tookMs: Long,
     )
@@ -29,7 +29,7 @@
         override fun ended(
             step: MoveStep,
             machine: String,
-            share: String,
+            shard: String,
             trace: String,
             tookMs: Long,
         ) = Unit
@@ -47,12 +47,12 @@
     ADOPT("adopt"),
 
     /** From the adoption until the worker has seen the new owner's token. */
-    FIRST_REPORT("first report"),
+    FIRST_HEARTBEAT("first report"),
 }
 
-/** Times the steps of moves that the leader of [share] takes part in. */
+/** Times the steps of moves that the leader of [shard] takes part in. */
 class MoveTimes(
-    private val share: String,
+    private val shard: String,
     private val tracer: MoveTracer,
 ) {
     private class Since(
@@ -61,7 +61,7 @@
     )
 
     private val inState = HashMap<String, Pair<Assignment, Since>>()
-    private val unheard = HashMap<String, Since>()
+    private val unconfirmed = HashMap<String, Since>()
 
     /** The table shows [moving] now. */
     fun shown(
@@ -90,17 +90,17 @@
     ) {
         val since = inState.remove(machine)?.second ?: return
         ended(MoveStep.ADOPT, machine, since, nowMs)
-        unheard[machine] = Since(since.trace, nowMs)
+        unconfirmed[machine] = Since(since.trace, nowMs)
     }
 
     /** Looks for adopted machines whose workers have seen the new token. */
-    fun heard(
+    fun observeTokens(
         hasSeenToken: (String) -> Boolean,
         nowMs: Long,
     ) {
-        val found = unheard.filterKeys(hasSeenToken)
-        unheard.keys.removeAll(found.keys)
-        for ((machine, since) in found) ended(MoveStep.FIRST_REPORT, machine, since, nowMs)
+        val found = unconfirmed.filterKeys(hasSeenToken)
+        unconfirmed.keys.removeAll(found.keys)
+        for ((machine, since) in found) ended(MoveStep.FIRST_HEARTBEAT, machine, since, nowMs)
     }
 
     private fun ended(
@@ -108,5 +108,5 @@
         machine: String,
         since: Since,
         nowMs: Long,
-    ) = tracer.ended(step, machine, share, since.trace, nowMs - since.atMs)
+    ) = tracer.ended(step, machine, shard, since.trace, nowMs - since.atMs)
 }
--- a/src/main/kotlin/mintfield/core/ownership/Ownership.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Ownership.kt
@@ -17,13 +17,13 @@
     fun isGone(machine: String): Boolean
 
     /** The description of a job that another share's leader schedules, or null. */
-    fun guestSpec(job: String): JobSpec?
+    fun foreignSpec(job: String): JobSpec?
 
-    /** Machines that the cloud has rented to this leader and that are not its own yet; it may not rent on meanwhile. */
+    /** Machines that the cloud has provisioned to this leader and that are not its own yet; it may not rent on meanwhile. */
     val claiming: Int
 
-    /** How many more machines may be rented. */
-    val roomToRent: Int
+    /** How many more machines may be provisioned. */
+    val scaleOutHeadroom: Int
 
     /** Whether a machine that is idle may be returned. */
     val maySpare: Boolean
@@ -39,23 +39,23 @@
 
     override fun isGone(machine: String) = false
 
-    override fun guestSpec(job: String): JobSpec? = null
+    override fun foreignSpec(job: String): JobSpec? = null
 
     override val claiming get() = 0
 
-    override val roomToRent get() = Int.MAX_VALUE
+    override val scaleOutHeadroom get() = Int.MAX_VALUE
 
     override val maySpare get() = true
 }
 
-/** The part of the machines that the leader of [share] acts for, by its replica of the assignments. */
-class ShareOwnership(
-    val share: String,
+/** The part of the machines that the leader of [shard] acts for, by its replica of the assignments. */
+class ShardOwnership(
+    val shard: String,
     private val table: AssignmentTable,
     private val floor: Int = 0,
     private val ceiling: Int = Int.MAX_VALUE,
     /** The description of any unfinished job of another share. */
-    private val foreignSpec: (String) -> JobSpec?,
+    private val lookupForeignSpec: (String) -> JobSpec?,
 ) : Ownership {
     /** Machines whose release is under way: from the moment its transaction is sent they may be another's. */
     private val lettingGo = HashSet<String>()
@@ -65,11 +65,11 @@
 
     override val claiming: Int get() = toClaim.size
 
-    override val roomToRent: Int get() = maxOf(0, ceiling - table.count(share) - toClaim.size)
+    override val scaleOutHeadroom: Int get() = maxOf(0, ceiling - table.count(shard) - toClaim.size)
 
-    override val maySpare: Boolean get() = table.count(share) > floor
+    override val maySpare: Boolean get() = table.count(shard) > floor
 
-    override fun owns(machine: String) = machine !in lettingGo && table.assignment(machine).entitles(share)
+    override fun owns(machine: String) = machine !in lettingGo && table.assignment(machine).entitles(shard)
 
     override fun mayStart(machine: String) = owns(machine) && table.assignment(machine) is Assignment.Owned
 
@@ -77,7 +77,7 @@
 
     override fun isGone(machine: String) = machine !in toClaim && table.of(machine) == KnownAssignment.None
 
-    override fun guestSpec(job: String): JobSpec? = foreignSpec(job)
+    override fun foreignSpec(job: String): JobSpec? = lookupForeignSpec(job)
 
     /** Stops acting for [machine], since its release is about to be sent. */
     fun letGo(machine: String) {
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -11,11 +11,11 @@
  * waiting tasks fit on. Tasks on a machine that is given run on there until they end.
  */
 class Rebalancer(
-    private val share: String,
+    private val shard: String,
     private val cluster: Cluster,
     private val table: AssignmentTable,
-    private val shares: Shares,
-    private val loads: ShareLoads,
+    private val shards: Shards,
+    private val loads: ShardLoads,
 ) {
     private class Grant(
         val target: String,
@@ -24,12 +24,12 @@
     )
 
     /** A share that is short, with what it still lacks once everything that was given to it has arrived. */
-    private class Needy(
+    private class Deficit(
         val name: String,
-        val load: ShareLoad,
-        var lackCpus: Double,
+        val load: ShardLoad,
+        var deficitCpus: Double,
     ) {
-        fun wants(machine: Machine) = lackCpus > 0 && machine.kind in load.shortOf
+        fun wants(machine: Machine) = deficitCpus > 0 && machine.kind in load.shortOf
     }
 
     private val meter = LoadMeter(cluster)
@@ -37,11 +37,11 @@
     private val grants = ArrayList<Grant>()
 
     /** Since when each share that is short has been so. */
-    private val needySinceMs = HashMap<String, Long>()
+    private val deficitSinceMs = HashMap<String, Long>()
     private var lastLookMs = Long.MIN_VALUE / 2
 
     /** The machines to be given now, each with the share that gets it. */
-    fun gifts(
+    fun transfers(
         nowMs: Long,
         targets: Collection<String>,
     ): Map<String, String> {
@@ -49,22 +49,22 @@
         if (nowMs - lastLookMs < Tuning.REBALANCE_MS) return emptyMap()
         lastLookMs = nowMs
         grants.removeAll { nowMs - it.atMs > Tuning.GRANT_COUNTS_MS }
-        val others = targets.filter { it != share && shares.isLive(it) }.mapNotNull { name -> loads.load(name)?.let { name to it } }.toMap()
-        val needy = others.map { (name, load) -> Needy(name, load, load.shortCpus - granted(name)) }.filter { it.lackCpus > 0 }
-        needySinceMs.keys.retainAll(needy.mapTo(HashSet()) { it.name })
-        needy.forEach { needySinceMs.putIfAbsent(it.name, nowMs) }
+        val others = targets.filter { it != shard && shards.isLive(it) }.mapNotNull { name -> loads.load(name)?.let { name to it } }.toMap()
+        val deficits = others.map { (name, load) -> Deficit(name, load, load.shortCpus - granted(name)) }.filter { it.deficitCpus > 0 }
+        deficitSinceMs.keys.retainAll(deficits.mapTo(HashSet()) { it.name })
+        deficits.forEach { deficitSinceMs.putIfAbsent(it.name, nowMs) }
         val most = mostAtOnce()
-        if (needy.isEmpty() || most <= 0) return emptyMap()
+        if (deficits.isEmpty() || most <= 0) return emptyMap()
         val own = meter.measure()
-        val given =
-            idleGifts(idle, own, needy, most)
-                .ifEmpty { fairGifts(own, others, needy, most, nowMs) }
-                .ifEmpty { roomGift(own, needy, nowMs) }
-        for ((machine, target) in given) grants.add(Grant(target, machine.type.cpus, nowMs))
-        return given.entries.associate { (machine, target) -> machine.id to target }
+        val transferred =
+            idleTransfers(idle, own, deficits, most)
+                .ifEmpty { fairShareTransfers(own, others, deficits, most, nowMs) }
+                .ifEmpty { capacityTransfer(own, deficits, nowMs) }
+        for ((machine, target) in transferred) grants.add(Grant(target, machine.type.cpus, nowMs))
+        return transferred.entries.associate { (machine, target) -> machine.id to target }
     }
 
-    private fun mostAtOnce(): Int = minOf(maxOf(1, (table.count(share) * Tuning.REBALANCE_SHARE).toInt()), shares.spare(share))
+    private fun mostAtOnce(): Int = minOf(maxOf(1, (table.count(shard) * Tuning.REBALANCE_SHARE).toInt()), shards.spare(shard))
 
     private fun granted(target: String) = grants.sumOf { if (it.target == target) it.cpus else 0.0 }
 
@@ -75,67 +75,67 @@
     }
 
     /** Machines that stand idle and that this share's own waiting tasks have no use for. */
-    private fun idleGifts(
+    private fun idleTransfers(
         idle: List<Machine>,
-        own: ShareLoad,
-        needy: List<Needy>,
+        own: ShardLoad,
+        deficits: List<Deficit>,
         most: Int,
     ): Map<Machine, String> {
-        val given = LinkedHashMap<Machine, String>()
+        val transferred = LinkedHashMap<Machine, String>()
         for (machine in idle) {
-            if (given.size == most) break
+            if (transferred.size == most) break
             if (machine.kind in own.shortOf) continue
-            val target = needy.filter { it.wants(machine) }.maxByOrNull { it.lackCpus } ?: continue
-            given[machine] = target.name
-            target.lackCpus -= machine.type.cpus
+            val target = deficits.filter { it.wants(machine) }.maxByOrNull { it.deficitCpus } ?: continue
+            transferred[machine] = target.name
+            target.deficitCpus -= machine.type.cpus
         }
-        return given
+        return transferred
     }
 
     /** Machines in use, from a share that has more than its part to the one that has the least of its part. */
-    private fun fairGifts(
-        own: ShareLoad,
-        others: Map<String, ShareLoad>,
-        needy: List<Needy>,
+    private fun fairShareTransfers(
+        own: ShardLoad,
+        others: Map<String, ShardLoad>,
+        deficits: List<Deficit>,
         most: Int,
         nowMs: Long,
     ): Map<Machine, String> {
-        val all = others + (share to own)
+        val all = others + (shard to own)
         val due = FairShares.divide(all.values.sumOf { it.ownedCpus }, all.mapValues { (name, load) -> FairShares.Claim(loads.weight(name), load.wantedCpus) })
-        val ownDue = due.getValue(share)
+        val ownDue = due.getValue(shard)
         var excess = own.ownedCpus - ownDue
         if (excess <= ownDue * Tuning.FAIR_SLACK) return emptyMap()
-        val target = needy.maxByOrNull { lackOf(it, due) / due.getValue(it.name) } ?: return emptyMap()
+        val target = deficits.maxByOrNull { lackOf(it, due) / due.getValue(it.name) } ?: return emptyMap()
         var lack = lackOf(target, due)
         if (lack <= due.getValue(target.name) * Tuning.FAIR_SLACK) return emptyMap()
-        val given = LinkedHashMap<Machine, String>()
+        val transferred = LinkedHashMap<Machine, String>()
         for (machine in movable(nowMs).filter { target.wants(it) }) {
-            if (given.size == most) break
+            if (transferred.size == most) break
             if (machine.type.cpus > excess || machine.type.cpus > lack) continue
-            given[machine] = target.name
+            transferred[machine] = target.name
             excess -= machine.type.cpus
             lack -= machine.type.cpus
         }
-        return given
+        return transferred
     }
 
     /** When a share has been short for long: one machine that has room for its smallest task, if this share has no use for that room. */
-    private fun roomGift(
-        own: ShareLoad,
-        needy: List<Needy>,
+    private fun capacityTransfer(
+        own: ShardLoad,
+        deficits: List<Deficit>,
         nowMs: Long,
     ): Map<Machine, String> {
         if (own.shortCpus > 0) return emptyMap()
-        val target = needy.filter { nowMs - needySinceMs.getValue(it.name) > Tuning.ROOM_PATIENCE_MS }.maxByOrNull { it.lackCpus } ?: return emptyMap()
+        val target = deficits.filter { nowMs - deficitSinceMs.getValue(it.name) > Tuning.ROOM_PATIENCE_MS }.maxByOrNull { it.deficitCpus } ?: return emptyMap()
         val machine = movable(nowMs).firstOrNull { target.wants(it) && it.freeCpus >= target.load.smallestCpus } ?: return emptyMap()
         return mapOf(machine to target.name)
     }
 
-    /** CPUs that [needy] has less than it is due, once everything that was given to it has arrived. */
+    /** CPUs that [deficits] has less than it is due, once everything that was given to it has arrived. */
     private fun lackOf(
-        needy: Needy,
+        deficits: Deficit,
         due: Map<String, Double>,
-    ) = due.getValue(needy.name) - needy.load.ownedCpus - granted(needy.name)
+    ) = due.getValue(deficits.name) - deficits.load.ownedCpus - granted(deficits.name)
 
     /** Machines that may be given though they are in use, those with the most room first; none that has just come. */
     private fun movable(nowMs: Long): List<Machine> =
--- a/src/main/kotlin/mintfield/core/ownership/ShareLoad.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardLoad.kt
@@ -16,7 +16,7 @@
 val Machine.kind: MachineKind get() = MachineKind(type.name, zone, spot)
 
 /** How much work a share has and how many CPUs for it; its leader tells the others once a second. */
-data class ShareLoad(
+data class ShardLoad(
     val ownedCpus: Double,
     /** CPUs of its running and waiting tasks together, the waiting ones as far as their teams' limits allow. */
     val wantedCpus: Double,
@@ -29,12 +29,12 @@
 )
 
 /** What is known of the load of other shares. */
-interface ShareLoads {
+interface ShardLoads {
     /** Null if its leader has not told it lately. */
-    fun load(share: String): ShareLoad?
+    fun load(shard: String): ShardLoad?
 
     /** The part of the machines that the share is due, beside the weights of the others. */
-    fun weight(share: String): Double
+    fun weight(shard: String): Double
 }
 
 /** Measures the load of the share whose scheduler works with [cluster]. */
@@ -43,14 +43,14 @@
 ) {
     /** What tasks ask of a machine; jobs that ask for the same are reckoned together. */
     private data class Need(
-        val fits: Set<String>,
+        val compatibleTypes: Set<String>,
         val zone: String?,
         val spot: Boolean,
         val cpus: Double,
         val gpus: Double,
         val memoryGb: Double,
     ) {
-        fun fitsOn(kind: MachineKind) = kind.type in fits && (zone == null || zone == kind.zone) && (spot || !kind.spot)
+        fun fitsOn(kind: MachineKind) = kind.type in compatibleTypes && (zone == null || zone == kind.zone) && (spot || !kind.spot)
     }
 
     /** Room of one machine that no waiting task has been given yet. */
@@ -78,12 +78,12 @@
         ): Int = if (each <= 0) Int.MAX_VALUE else Math.floor((room + ROUNDING) / each).toInt()
     }
 
-    fun measure(): ShareLoad {
+    fun measure(): ShardLoad {
         val own = cluster.machines.values.filter { it.state in IN_SERVICE && cluster.ownership.mayStart(it.id) }
         val waiting = waitingTasks()
         val short = tasksWithoutRoom(waiting, own)
         val runningCpus = cluster.jobs.values.sumOf { it.activeAttempts.size * it.spec.cpus }
-        return ShareLoad(
+        return ShardLoad(
             ownedCpus = own.sumOf { it.type.cpus },
             wantedCpus = runningCpus + waiting.entries.sumOf { (need, tasks) -> need.cpus * tasks },
             shortCpus = short.entries.sumOf { (need, tasks) -> need.cpus * tasks },
@@ -97,12 +97,12 @@
         val waiting = LinkedHashMap<Need, Int>()
         val takenCpus = HashMap<String, Double>()
         for (job in cluster.jobs.values) {
-            if (job.withdrawn || job.askable <= 0) continue
+            if (job.cancelled || job.schedulableTasks <= 0) continue
             val spec = job.spec
             val taken = takenCpus[spec.team] ?: 0.0
             val allowed = cluster.allowance(spec)
             val left = if (allowed == Int.MAX_VALUE || spec.cpus <= 0) allowed else maxOf(0, allowed - Math.ceil(taken / spec.cpus).toInt())
-            val tasks = minOf(job.askable, left)
+            val tasks = minOf(job.schedulableTasks, left)
             if (tasks <= 0) continue
             takenCpus[spec.team] = taken + tasks * spec.cpus
             waiting.merge(need(job), tasks, Int::plus)
@@ -112,7 +112,7 @@
 
     private fun need(job: Job): Need {
         val spec = job.spec
-        return Need(job.fits, job.boundZone, spec.spot, spec.cpus, spec.gpus, spec.memoryGb)
+        return Need(job.compatibleTypes, job.boundZone, spec.spot, spec.cpus, spec.gpus, spec.memoryGb)
     }
 
     /** Tasks left over when the free room of [own] has been given to [waiting], those with the least choice first. */
@@ -122,7 +122,7 @@
     ): Map<Need, Int> {
         val rooms = own.filter { it.state == MachineState.UP }.map { Room(it.kind, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
         val left = LinkedHashMap<Need, Int>()
-        for ((need, tasks) in waiting.entries.sortedBy { it.key.fits.size + if (it.key.zone == null) 1 else 0 }) {
+        for ((need, tasks) in waiting.entries.sortedBy { it.key.compatibleTypes.size + if (it.key.zone == null) 1 else 0 }) {
             var rest = tasks
             for (room in rooms) {
                 if (rest == 0) break
@@ -137,7 +137,7 @@
         cluster.types.values.flatMap { type -> type.zones.flatMap { listOf(MachineKind(type.name, it, false), MachineKind(type.name, it, true)) } }
 
     private companion object {
-        val IN_SERVICE = setOf(MachineState.AWAITED, MachineState.UP, MachineState.SILENT)
+        val IN_SERVICE = setOf(MachineState.PROVISIONING, MachineState.UP, MachineState.UNRESPONSIVE)
 
         /** What sums of fractions of a CPU may be off by. */
         const val ROUNDING = 1e-6
--- a/src/main/kotlin/mintfield/core/ownership/ShareSuccession.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
@@ -2,77 +2,77 @@
 
 import mintfield.core.Tuning
 
-/** What a controller knows of its siblings when it decides who should lead a share. */
-interface Siblings {
+/** What a controller knows of its peers when it decides who should lead a share. */
+interface PeerLiveness {
     val names: Collection<String>
 
-    /** Whether [sibling] has been heard lately, and the state service serves it. */
-    fun isUpAndServed(sibling: String): Boolean
+    /** Whether [peer] has been heard lately, and the store serves it. */
+    fun isUpAndServed(peer: String): Boolean
 }
 
 /**
  * Which controller should lead a share: its home, if that is up and not drained; else one that is not drained and leads few shares; a
  * drained one only if nobody else does. Says when [member] should stand for a share, and when it should give one up.
  */
-class ShareSuccession(
+class ShardSuccession(
     private val member: String,
-    private val siblings: Siblings,
+    private val peers: PeerLiveness,
     /** The controllers that operators have drained. */
     private val drained: () -> Set<String>,
 ) {
     private val successorSinceMs = HashMap<String, Long>()
     private var lastDrainMs = Long.MIN_VALUE / 2
 
-    /** Milliseconds to wait before standing for [share] while leading [led] others, so that whoever should lead it goes first. */
-    fun standDelayMs(
-        share: ShareSettings,
+    /** Milliseconds to wait before standing for [shard] while leading [led] others, so that whoever should lead it goes first. */
+    fun campaignDelayMs(
+        shard: ShardSettings,
         led: Int,
     ): Long =
         when {
             member in drained() -> Tuning.DRAINED_STAND_MS
-            share.home == member -> 0
-            share.home in drained() -> led * Tuning.LED_SHARE_STAND_MS
+            shard.home == member -> 0
+            shard.home in drained() -> led * Tuning.LED_SHARE_STAND_MS
             else -> Tuning.HOME_FIRST_MS + led * Tuning.LED_SHARE_STAND_MS
         }
 
-    /** Why [share], which this controller leads, is to be given up now; null if it is not. */
-    fun reasonToGiveUp(
-        share: ShareSettings,
+    /** Why [shard], which this controller leads, is to be given up now; null if it is not. */
+    fun reasonToTransfer(
+        shard: ShardSettings,
         nowMs: Long,
-    ): String? = if (member in drained()) drain(share, nowMs) else returnHome(share, nowMs)
+    ): String? = if (member in drained()) drain(shard, nowMs) else returnHome(shard, nowMs)
 
     private fun drain(
-        share: ShareSettings,
+        shard: ShardSettings,
         nowMs: Long,
     ): String? {
-        val successor = siblings.names.any { it !in drained() && siblings.isUpAndServed(it) }
-        if (!heldFor(Tuning.DRAIN_HOLD_MS, share, successor, nowMs) || nowMs - lastDrainMs < Tuning.DRAIN_STEP_MS) return null
+        val successor = peers.names.any { it !in drained() && peers.isUpAndServed(it) }
+        if (!heldFor(Tuning.DRAIN_HOLD_MS, shard, successor, nowMs) || nowMs - lastDrainMs < Tuning.DRAIN_STEP_MS) return null
         lastDrainMs = nowMs
         return "$member is drained"
     }
 
     private fun returnHome(
-        share: ShareSettings,
+        shard: ShardSettings,
         nowMs: Long,
     ): String? {
-        val successor = share.home != member && share.home !in drained() && siblings.isUpAndServed(share.home)
-        return if (heldFor(Tuning.HOME_RETURN_MS, share, successor, nowMs)) "${share.home} is up, the home of ${share.name}" else null
+        val successor = shard.home != member && shard.home !in drained() && peers.isUpAndServed(shard.home)
+        return if (heldFor(Tuning.HOME_RETURN_MS, shard, successor, nowMs)) "${shard.home} is up, the home of ${shard.name}" else null
     }
 
     /** Whether there has been a successor for [forMs]; after that, another try comes no sooner than in the same time again. */
     private fun heldFor(
         forMs: Long,
-        share: ShareSettings,
+        shard: ShardSettings,
         successor: Boolean,
         nowMs: Long,
     ): Boolean {
         if (!successor) {
-            successorSinceMs.remove(share.name)
+            successorSinceMs.remove(shard.name)
             return false
         }
-        val since = successorSinceMs.getOrPut(share.name) { nowMs }
+        val since = successorSinceMs.getOrPut(shard.name) { nowMs }
         if (nowMs - since < forMs) return false
-        successorSinceMs[share.name] = nowMs
+        successorSinceMs[shard.name] = nowMs
         return true
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/SharingSettings.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardingSettings.kt
@@ -3,7 +3,7 @@
 import mintfield.core.model.Settings
 
 /** A part of the machines with the teams whose jobs run on it; its leader schedules these jobs and acts for these machines. */
-data class ShareSettings(
+data class ShardSettings(
     val name: String,
     /** The controller that should lead it while it is up. */
     val home: String,
@@ -21,26 +21,26 @@
 }
 
 /** How operators divide the machines among the controllers. Every team belongs to one share, so its limit is kept in one place. */
-data class SharingSettings(
-    val shares: List<ShareSettings>,
+data class ShardingSettings(
+    val shards: List<ShardSettings>,
 ) {
-    private val byTeam = shares.flatMap { share -> share.teams.map { it to share } }.toMap()
+    private val byTeam = shards.flatMap { shard -> shard.teams.map { it to shard } }.toMap()
 
-    fun share(name: String): ShareSettings? = shares.firstOrNull { it.name == name }
+    fun shard(name: String): ShardSettings? = shards.firstOrNull { it.name == name }
 
     /** The share whose leader schedules the jobs of [team]. */
-    fun ofTeam(team: String): ShareSettings? = byTeam[team]
+    fun ofTeam(team: String): ShardSettings? = byTeam[team]
 
     /** What does not fit the platform's [settings]: a field and the reason; null if all does. */
     fun problem(settings: Settings): String? {
-        val members = settings.siblings.map { it.member } + settings.member
+        val members = settings.peers.map { it.member } + settings.member
         val teams = settings.teams.map { it.name }
-        for (share in shares) {
-            val at = "sharing.share ${share.name}"
-            if (share.home !in members) return "$at.home: expected one of ${members.sorted().joinToString(", ")}, found ${share.home}"
-            share.teams.firstOrNull { it !in teams }?.let { return "$at.teams: expected some of ${teams.joinToString(", ")}, found $it" }
+        for (shard in shards) {
+            val at = "sharing.share ${shard.name}"
+            if (shard.home !in members) return "$at.home: expected one of ${members.sorted().joinToString(", ")}, found ${shard.home}"
+            shard.teams.firstOrNull { it !in teams }?.let { return "$at.teams: expected some of ${teams.joinToString(", ")}, found $it" }
         }
-        val owned = shares.flatMap { it.teams }
+        val owned = shards.flatMap { it.teams }
         owned.firstOrNull { team -> owned.count { it == team } > 1 }?.let { return "sharing.share: team $it is in more than one share" }
         return teams.firstOrNull { it !in owned }?.let { "sharing.share: team $it is in no share" }
     }
--- a/src/main/kotlin/mintfield/core/placement/Exhausted.kt
+++ b/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
@@ -8,7 +8,7 @@
  * Kinds of tasks for which a round has found no place left. A round only takes room, so what one task did not find no other of the
  * same kind will: without this each of thousands of waiting jobs was tried on each of thousands of machines.
  */
-class Exhausted {
+class ExhaustedSearches {
     /** What the choice of a machine depends on, for a job whose tasks may be placed each by itself. */
     private data class Kind(
         val image: String,
@@ -16,7 +16,7 @@
         val cpus: Double,
         val gpus: Double,
         val memoryGb: Double,
-        val fits: Set<String>,
+        val compatibleTypes: Set<String>,
         val types: List<String>?,
         val spot: Boolean,
         val zone: String?,
@@ -56,6 +56,6 @@
         val spec = job.spec
         if (spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return null
         if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) return null
-        return Kind(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.fits, spec.types, spec.spot, spec.zone)
+        return Kind(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/ImageRoom.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
@@ -11,7 +11,7 @@
  * machine may share its rate, so tasks of many images that all take the first free room wait for minutes, and hold the room
  * meanwhile from others whose image is there.
  */
-class ImageRoom(
+class ImageLocality(
     private val cluster: Cluster,
     private val open: List<Machine>,
     private val waiting: List<Job>,
@@ -38,15 +38,15 @@
     /** Seconds in which all that waits would have begun, if every slot were fit for it. */
     private val backlogS = arrays.sumOf { waitingS(it) } / maxOf(1.0, arrayCpus)
 
-    private fun waitingS(job: Job) = job.askable * job.spec.cpus * cluster.runTimes.expectedS(job)
+    private fun waitingS(job: Job) = job.schedulableTasks * job.spec.cpus * cluster.runTimes.expectedS(job)
 
     private fun holders(job: Job): Holders {
         val spec = job.spec
         val zone = job.boundZone
-        return holders.getOrPut(Wanted(spec.image, spec.spot, zone, job.fits)) {
+        return holders.getOrPut(Wanted(spec.image, spec.spot, zone, job.compatibleTypes)) {
             var cpus = 0.0
             for (m in open) {
-                if (!m.hasImage(spec.image) || (m.spot && !spec.spot) || (zone != null && m.zone != zone) || m.type.name !in job.fits) continue
+                if (!m.hasImage(spec.image) || (m.spot && !spec.spot) || (zone != null && m.zone != zone) || m.type.name !in job.compatibleTypes) continue
                 cpus += m.type.cpus - m.serviceCpus
             }
             Holders(cpus, arrays.sumOf { if (it.spec.image == spec.image) waitingS(it) else 0.0 })
@@ -54,7 +54,7 @@
     }
 
     /** Whether the machines with the image of an array hold enough for all that it has waiting. */
-    fun enough(job: Job): Boolean = job.spec.shape == Shape.ARRAY && holders(job).cpus >= job.askable * job.spec.cpus * Tuning.IMAGE_ROOM
+    fun enough(job: Job): Boolean = job.spec.shape == Shape.ARRAY && holders(job).cpus >= job.schedulableTasks * job.spec.cpus * Tuning.IMAGE_ROOM
 
     /**
      * Seconds of fetching that a task of [job] may be given: no more than it would wait for room where its image is, or for
@@ -62,7 +62,7 @@
      * waits for may be held by others, or be where its rules do not let it go.
      */
     fun patienceS(job: Job): Double {
-        if (job.spec.shape != Shape.ARRAY || nowMs - maxOf(job.seenAtMs, job.lastPlanAtMs) > Tuning.IMAGE_PATIENCE_MS) return Double.MAX_VALUE
+        if (job.spec.shape != Shape.ARRAY || nowMs - maxOf(job.firstSeenAtMs, job.lastPlanAtMs) > Tuning.IMAGE_PATIENCE_MS) return Double.MAX_VALUE
         val h = holders(job)
         if (h.cpus <= 0) return Double.MAX_VALUE
         return maxOf(backlogS, h.waitingS / h.cpus) + Tuning.FETCH_SLACK_S
--- a/src/main/kotlin/mintfield/core/placement/Urgency.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -3,8 +3,8 @@
 import mintfield.core.Cluster
 import mintfield.core.Tuning
 import mintfield.core.fleet.MachineState
-import mintfield.core.jobs.Belief
 import mintfield.core.jobs.Job
+import mintfield.core.jobs.JobHealth
 import mintfield.core.model.JobSpec
 import mintfield.core.model.Objective
 import mintfield.core.model.Priority
@@ -15,7 +15,7 @@
  * The order in which waiting jobs are served: priority; services; work within its team's guarantee; then those arrays
  * that can meet an aim, as many as possible; last what can meet none, the shortest first.
  */
-class Urgency(
+class JobOrder(
     private val cluster: Cluster,
 ) {
     private val aims =
@@ -66,7 +66,7 @@
             .filter { it.ready }
             .sortedBy { it.readySinceMs }) {
             val team = cluster.team(job.spec.team) ?: continue
-            if (job.withdrawn || job.belief == Belief.DOUBTED || (team.cpus <= 0 && team.gpus <= 0)) continue
+            if (job.cancelled || job.health == JobHealth.SUSPECT || (team.cpus <= 0 && team.gpus <= 0)) continue
             val sum = used.getOrPut(job.spec.team) { DoubleArray(2) }
             sum[0] += job.spec.tasks * job.spec.cpus
             sum[1] += job.spec.tasks * job.spec.gpus
@@ -90,12 +90,12 @@
     ): List<Job> {
         if (jobs.size < 2) return jobs
         val capacity = maxOf(1.0, arrayCapacity())
-        val (pressing, rest) = jobs.map { claim(it, wallMs) }.partition { presses(it, capacity, wallMs) }
-        val (ahead, late) = goAhead(pressing, capacity, wallMs)
+        val (deadlineCritical, rest) = jobs.map { claim(it, wallMs) }.partition { isDeadlineCritical(it, capacity, wallMs) }
+        val (boosted, late) = goAhead(deadlineCritical, capacity, wallMs)
         val chosen = ArrayList<Job>()
-        ahead.mapTo(chosen) { it.job }
+        boosted.mapTo(chosen) { it.job }
         var open = rest + late
-        var loadS = ahead.sumOf { it.workS }
+        var loadS = boosted.sumOf { it.workS }
         var level = 0
         while (open.any { it.dues.size > level } && level < MAX_LEVELS) {
             val (with, without) = open.partition { it.dues.size > level }
@@ -138,24 +138,24 @@
      * ahead hold no more than their share of the CPUs.
      */
     private fun goAhead(
-        pressing: List<Claim>,
+        deadlineCritical: List<Claim>,
         capacity: Double,
         wallMs: Long,
     ): Pair<List<Claim>, List<Claim>> {
-        if (pressing.isEmpty()) return pressing to pressing
-        val (feasible, late) = feasible(pressing, 0.0, capacity * Tuning.AHEAD_SHARE, wallMs) { it.strictDue!! }
+        if (deadlineCritical.isEmpty()) return deadlineCritical to deadlineCritical
+        val (feasible, late) = feasible(deadlineCritical, 0.0, capacity * Tuning.AHEAD_SHARE, wallMs) { it.strictDue!! }
         var room = capacity * Tuning.AHEAD_SHARE
-        for (job in cluster.jobs.values) if (job.ahead) room -= job.activeAttempts.size * job.spec.cpus
+        for (job in cluster.jobs.values) if (job.boosted) room -= job.activeAttempts.size * job.spec.cpus
         val (first, others) =
             feasible.sortedWith(compareBy({ it.strictDue }, { it.job.spec.id })).partition { c ->
-                val cpus = c.job.askable * c.job.spec.cpus
+                val cpus = c.job.schedulableTasks * c.job.spec.cpus
                 (cpus <= room).also { if (it) room -= cpus }
             }
-        first.forEach { it.job.ahead = true }
+        first.forEach { it.job.boosted = true }
         return first to others + late
     }
 
-    private fun presses(
+    private fun isDeadlineCritical(
         c: Claim,
         capacity: Double,
         wallMs: Long,
@@ -165,7 +165,7 @@
         return wallMs + needMs + Tuning.PRESSING_MS > due
     }
 
-    /** CPUs of the machines that report, less those of replicas. */
+    /** CPUs of the machines that heartbeat, less those of replicas. */
     fun arrayCapacity(): Double {
         var cpus = 0.0
         for (m in cluster.machines.values) {
@@ -189,7 +189,7 @@
             val due = fromMs + (dueS(aim, spec, expected) ?: continue) * 1000
             if (due < least) continue
             dues.add(due)
-            if ((aim.share ?: 0.0) >= Tuning.STRICT_SHARE && (strict == null || due < strict)) strict = due
+            if ((aim.targetFraction ?: 0.0) >= Tuning.STRICT_SHARE && (strict == null || due < strict)) strict = due
         }
         val own = if (aims[spec.jobClass].orEmpty().any { it.kind == DEADLINE }) null else spec.deadlineS
         val other = own ?: if (spec.jobClass in aims) null else DEFAULT_DUE_S + expected
--- a/src/main/kotlin/mintfield/core/placement/Round.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -12,11 +12,11 @@
 import mintfield.core.model.Shape
 
 /** One round of decisions: what waits, in order of its claim, is put on the fullest machines that fit. */
-class Round(
+class SchedulingRound(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
-    private val urgency = Urgency(cluster)
+    private val jobOrder = JobOrder(cluster)
 
     /** Plans up to [most] tasks; returns how many were planned. */
     fun run(
@@ -26,67 +26,68 @@
         replicasOnly: Boolean = false,
     ): Int {
         val candidates = if (replicasOnly) cluster.jobs.values.filter { it.spec.shape == Shape.SERVICE } else cluster.jobs.values
-        val waiting = candidates.filter { !it.withdrawn && !it.finishing && !it.unreadable && nowMs >= it.notBeforeMs && it.askable > 0 }
+        val waiting = candidates.filter { !it.cancelled && !it.finishing && !it.unreadable && nowMs >= it.notBeforeMs && it.schedulableTasks > 0 }
         if (waiting.isEmpty() || nowMs < cluster.holdUntilMs) return 0
-        val open = cluster.machines.values.filter { it.open(nowMs, cluster.timings.freshReportMs) && cluster.ownership.mayStart(it.id) }
+        val open = cluster.machines.values.filter { it.open(nowMs, cluster.timings.heartbeatTimeoutMs) && cluster.ownership.mayStart(it.id) }
         if (open.isEmpty()) return 0
         val number = cluster.attemptNumber()
         val reserve = ReplicaReserve(cluster, open)
-        val roomy = RoomyMachines(open, waiting, reserve)
+        val withCapacity = MachinesWithCapacity(open, waiting, reserve)
         // While everything is full a round costs no more for much that waits than for little.
-        if (roomy.none && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
+        if (withCapacity.none && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
         var planned = 0
         val search = Search(open, number, reserve, nowMs)
         val settling = Settling(nowMs)
-        val order = urgency.sorted(waiting, wallMs)
+        val order = jobOrder.sorted(waiting, wallMs)
         val turns = StarvationGuard(cluster, waiting, wallMs)
-        val arrayCpus = urgency.arrayCapacity()
-        val images = ImageRoom(cluster, open, waiting, arrayCpus, nowMs)
+        val arrayCpus = jobOrder.arrayCapacity()
+        val images = ImageLocality(cluster, open, waiting, arrayCpus, nowMs)
         for ((job, tasks) in turns.first(arrayCpus)) {
             if (planned >= most) break
-            planned += place(job, search, minOf(tasks, most - planned), ImageRank.ANYWHERE, Double.MAX_VALUE) { roomy.forJob(job) }
+            planned += place(job, search, minOf(tasks, most - planned), ImageRank.ANYWHERE, Double.MAX_VALUE) { withCapacity.forJob(job) }
         }
         val setAside = turns.setAside(open)
         val patient = ArrayList<Job>()
-        val crowded = waiting.sumOf { it.askable * it.spec.cpus } > open.sumOf { it.type.cpus } * Tuning.CROWDED_SHARE
+        val congested = waiting.sumOf { it.schedulableTasks * it.spec.cpus } > open.sumOf { it.type.cpus } * Tuning.CROWDED_SHARE
         for (job in order) {
             if (planned >= most) break
-            val waits = crowded && images.enough(job)
+            val waits = congested && images.enough(job)
             if (waits) patient.add(job)
             val worst = if (waits || settling.of(job)) ImageRank.THERE else ImageRank.ANYWHERE
-            planned += place(job, search, most - planned, worst, images.patienceS(job)) { turns.openTo(job, roomy.forJob(job), setAside) }
+            planned += place(job, search, most - planned, worst, images.patienceS(job)) { turns.openTo(job, withCapacity.forJob(job), setAside) }
         }
         // Room that nobody with the image wanted is worth a fetch.
         for (job in patient) {
             if (planned >= most) break
             if (job.waitingCount > 0 && !settling.of(job)) {
-                planned += place(job, search, most - planned, ImageRank.ANYWHERE, images.patienceS(job)) { turns.openTo(job, roomy.forJob(job), setAside) }
+                planned +=
+                    place(job, search, most - planned, ImageRank.ANYWHERE, images.patienceS(job)) { turns.openTo(job, withCapacity.forJob(job), setAside) }
             }
         }
         return planned
     }
 
     /**
-     * Just after a take-over most machines have not reported yet. A task placed on the first that has would often fetch its
+     * Just after a failover most machines have not reported yet. A task placed on the first that has would often fetch its
      * image for half a minute, though one that has the image reports within a second or two.
      */
     private inner class Settling(
         nowMs: Long,
     ) {
         private val lasts = nowMs - cluster.replayedAtMs < cluster.timings.settleMs
-        private val awaited = HashMap<Pair<String, Boolean>, Boolean>()
+        private val pendingPredecessors = HashMap<Pair<String, Boolean>, Boolean>()
 
         fun of(job: Job): Boolean {
             if (!lasts) return false
             val spec = job.spec
-            return awaited.getOrPut(spec.image to spec.spot) {
+            return pendingPredecessors.getOrPut(spec.image to spec.spot) {
                 cluster.machines.values.any { unproven(it) && it.hasImage(spec.image) && (!it.spot || spec.spot) }
             }
         }
     }
 
-    /** Not heard of since the take-over, or only by what may be a late copy: most likely it will be fit for tasks in a moment. */
-    private fun unproven(m: Machine) = m.state == MachineState.AWAITED || (m.state == MachineState.UP && m.termSeen < m.neededTerm)
+    /** Not heard of since the failover, or only by what may be a late copy: most likely it will be fit for tasks in a moment. */
+    private fun unproven(m: Machine) = m.state == MachineState.PROVISIONING || (m.state == MachineState.UP && m.termSeen < m.requiredTerm)
 
     /** What the searches for places of one round have in common. */
     private class Search(
@@ -95,7 +96,7 @@
         val reserve: ReplicaReserve,
         val nowMs: Long,
     ) {
-        val exhausted = Exhausted()
+        val exhausted = ExhaustedSearches()
     }
 
     private inline fun place(
@@ -106,7 +107,7 @@
         patienceS: Double,
         candidates: () -> List<Machine>,
     ): Int {
-        val allowed = minOf(most, cluster.allowance(job.spec), job.askable)
+        val allowed = minOf(most, cluster.allowance(job.spec), job.schedulableTasks)
         if (allowed <= 0 || search.exhausted.covers(job, worst, patienceS)) return 0
         val planned = place(job, search, candidates(), allowed, worst, patienceS)
         if (planned < allowed) search.exhausted.note(job, worst, patienceS)
@@ -129,13 +130,13 @@
         if (candidates.isEmpty()) return 0
         // A gang goes as a whole: not before its last attempts are gone, and only if there is room for all.
         if (spec.shape == Shape.GANG && (job.activeAttempts.isNotEmpty() || allowed < job.waitingCount)) return 0
-        val zones = ZoneRule(job, open)
+        val zones = ZoneConstraint(job, open)
         // A machine that failed it is tried again only if few others could hold it.
         val avoided = if (job.failedOn.isNotEmpty() && fewFailed(job, open, zones)) job.failedOn else emptySet()
         val fitting = candidates.filter { it.id !in avoided && mayHold(job, it) && zones.allows(it.zone) }
         if (spec.shape == Shape.GANG && fitting.sumOf { roomFor(spec, it.freeCpus, it.freeGpus, it.freeMemoryGb) } < job.waitingCount) return 0
         val inReach = fitting.filter { reaches(it, spec, worst, patienceS) && it.holds(spec.cpus + reserve.margin(it, spec), spec.gpus, spec.memoryGb) }
-        val roomy = MachineRanking(spec, inReach)
+        val withCapacity = MachineRanking(spec, inReach)
         val tasks = job.waiting(allowed).iterator()
         var planned = 0
         // A task that may displace others prefers room made where its image is to room where it would be fetched.
@@ -152,7 +153,7 @@
                     planned++
                 }
             } else {
-                for (r in roomy) {
+                for (r in withCapacity) {
                     if (!tasks.hasNext()) break
                     if (r.image > limit) continue
                     val m = r.machine
@@ -193,7 +194,7 @@
     private fun fewFailed(
         job: Job,
         open: List<Machine>,
-        zones: ZoneRule,
+        zones: ZoneConstraint,
     ) = job.failedOn.size < open.count { mayHold(job, it) && zones.allows(it.zone) } / 2
 
     private fun mayHold(
@@ -201,7 +202,7 @@
         m: Machine,
     ): Boolean {
         val spec = job.spec
-        return m.type.name in job.fits && (spec.types == null || m.type.name in spec.types) && (!m.spot || spec.spot)
+        return m.type.name in job.compatibleTypes && (spec.types == null || m.type.name in spec.types) && (!m.spot || spec.spot)
     }
 
     /** A try at placing: the worst rank of image allowed, and whether to displace others or to spread replicas. */
@@ -219,7 +220,7 @@
         nowMs: Long,
     ) {
         cluster.attemptUsed(number)
-        cluster.occupy(job, index, number, m, m.season)
+        cluster.occupy(job, index, number, m, m.incarnation)
         job.lastPlanAtMs = nowMs
         if (job.spec.shape == Shape.SERVICE) {
             log("placing ${job.spec.id}/$index on ${m.id}, image ${if (m.hasImage(job.spec.image)) "there" else "to fetch"}")
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -26,16 +26,16 @@
         val turns = ArrayList<Pair<Job, Int>>()
         for (job in waiting) {
             if (job.spec.shape != Shape.ARRAY || job.begun || ageMs(job) < Tuning.BEGIN_MS) continue
-            turns.add(job to minOf(job.askable, maxOf(1, (job.spec.tasks * Tuning.BEGIN_SHARE).toInt())))
+            turns.add(job to minOf(job.schedulableTasks, maxOf(1, (job.spec.tasks * Tuning.BEGIN_SHARE).toInt())))
         }
         turns.sortWith(compareBy({ it.first.readySinceMs }, { it.first.spec.id }))
-        val old = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.withdrawn && ageMs(it) > Tuning.OLD_MS }
+        val old = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.cancelled && ageMs(it) > Tuning.OLD_MS }
         if (old.isEmpty()) return turns
         var room = capacity * Tuning.OLD_SHARE - old.sumOf { it.activeAttempts.size * it.spec.cpus }
         val order = compareBy<Job>({ cluster.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
         val asking = waiting.toHashSet()
         for (job in old.filter { it in asking }.sortedWith(order)) {
-            val tasks = minOf(job.askable, (room / maxOf(job.spec.cpus, LEAST_CPUS)).toInt())
+            val tasks = minOf(job.schedulableTasks, (room / maxOf(job.spec.cpus, LEAST_CPUS)).toInt())
             if (tasks <= 0) break
             turns.add(job to tasks)
             room -= tasks * job.spec.cpus
@@ -53,7 +53,7 @@
                 .filter { it.spec.shape == Shape.GANG && ageMs(it) > Tuning.BEGIN_MS }
                 .minWithOrNull(compareBy({ it.readySinceMs }, { it.spec.id })) ?: return emptySet()
         val spec = gang.spec
-        val fitting = open.filter { it.type.name in gang.fits && (!it.spot || spec.spot) && (spec.zone == null || it.zone == spec.zone) }
+        val fitting = open.filter { it.type.name in gang.compatibleTypes && (!it.spot || spec.spot) && (spec.zone == null || it.zone == spec.zone) }
         val zones = if (spec.oneZone) fitting.groupBy { it.zone }.values.toList() else listOf(fitting)
         val chosen = LinkedHashSet<Machine>()
         val best = zones.maxByOrNull { ms -> ms.sumOf { it.freeCpus } } ?: return emptySet()
--- a/src/main/kotlin/mintfield/core/placement/ZoneRule.kt
+++ b/src/main/kotlin/mintfield/core/placement/ZoneConstraint.kt
@@ -4,7 +4,7 @@
 import mintfield.core.jobs.Job
 
 /** Which zones a job's next task may go to, given where its others are. */
-class ZoneRule(
+class ZoneConstraint(
     private val job: Job,
     open: List<Machine>,
 ) {
@@ -13,7 +13,7 @@
     private val only: String?
 
     /** A task of the job may be in any zone: its machine is known by name only. */
-    private val unsure = (spec.oneZone || spec.spread) && job.activeAttempts.any { it.machine.guessed }
+    private val unsure = (spec.oneZone || spec.spread) && job.activeAttempts.any { it.machine.provisional }
 
     init {
         job.activeAttempts.forEach { counts.merge(it.machine.zone, 1, Int::plus) }
@@ -28,7 +28,7 @@
 
     private fun roomiest(open: List<Machine>): String? =
         open
-            .filter { (!it.spot || spec.spot) && it.type.name in job.fits }
+            .filter { (!it.spot || spec.spot) && it.type.name in job.compatibleTypes }
             .groupBy { it.zone }
             .maxByOrNull { (_, ms) -> ms.sumOf { Math.floor(it.freeCpus / maxOf(spec.cpus, 1e-6)) } }
             ?.key
--- a/src/main/kotlin/mintfield/core/steps/StepGraph.kt
+++ b/src/main/kotlin/mintfield/core/steps/StepGraph.kt
@@ -73,7 +73,7 @@
     const val CATALOGUE = "catalogue"
 
     /** Which types could hold a task; rent and plan both build on it, so the rule records it. */
-    const val FITS = "fits"
+    const val COMPATIBLE_TYPES = "fits"
     const val INTAKE = "intake"
 
     /**
@@ -85,13 +85,13 @@
     /** Reads what the machines hold. */
     const val FLEET = "fleet"
     const val PLAN = "plan"
-    const val RENT = "rent"
+    const val SCALE_OUT = "rent"
 
     /** Sends starts to workers; commands are idempotent, so there is nothing to record. */
     const val START = "start"
 
     /** Reads which tasks the workers report as done. */
-    const val REPORTS = "reports"
+    const val HEARTBEATS = "reports"
 
     /** Adds to the done-set. */
     const val DONE_SET = "done-set"
@@ -100,15 +100,15 @@
     val graph =
         StepGraph(
             listOf(
-                Step(CATALOGUE, writes = false, feeds = listOf(FITS)),
-                Step(FITS, writes = false, feeds = listOf(PLAN, RENT)),
-                Step(INTAKE, writes = true, feeds = listOf(PLAN, RENT)),
-                Step(PREDECESSORS, writes = true, feeds = listOf(PLAN, RENT)),
+                Step(CATALOGUE, writes = false, feeds = listOf(COMPATIBLE_TYPES)),
+                Step(COMPATIBLE_TYPES, writes = false, feeds = listOf(PLAN, SCALE_OUT)),
+                Step(INTAKE, writes = true, feeds = listOf(PLAN, SCALE_OUT)),
+                Step(PREDECESSORS, writes = true, feeds = listOf(PLAN, SCALE_OUT)),
                 Step(FLEET, writes = false, feeds = listOf(PLAN)),
-                Step(RENT, writes = true, feeds = listOf(FLEET)),
+                Step(SCALE_OUT, writes = true, feeds = listOf(FLEET)),
                 Step(PLAN, writes = true, feeds = listOf(START)),
-                Step(START, writes = false, feeds = listOf(REPORTS)),
-                Step(REPORTS, writes = false, feeds = listOf(DONE_SET)),
+                Step(START, writes = false, feeds = listOf(HEARTBEATS)),
+                Step(HEARTBEATS, writes = false, feeds = listOf(DONE_SET)),
                 Step(DONE_SET, writes = true, feeds = listOf(FINISH)),
                 Step(FINISH, writes = true, feeds = emptyList()),
             ),
--- a/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
+++ b/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
@@ -16,14 +16,14 @@
  * Which generation each controller of the settings runs. Behaviour that an earlier generation would misread stays off until all
  * have been seen to have it.
  *
- * Two things are known of a controller: the generation that it has recorded in the state service, which stays when it ends, and
+ * Two things are known of a controller: the generation that it has recorded in the store, which stays when it ends, and
  * the one in its last note, which tells of an earlier program that was put in place of a later one.
  */
 class ControllerVersions(
-    private val siblings: Collection<String>,
+    private val peers: Collection<String>,
 ) {
     private val recorded = HashMap<String, Int>()
-    private val heard = HashMap<String, Int>()
+    private val announced = HashMap<String, Int>()
 
     /** [member] has recorded [generation]. */
     fun recorded(
@@ -34,13 +34,13 @@
     }
 
     /** A note of [member] names [generation]. */
-    fun heard(
+    fun announced(
         member: String,
         generation: Int,
     ) {
-        heard[member] = generation
+        announced[member] = generation
     }
 
-    /** The siblings that are not known to run [generation] or a later one. */
-    fun lacking(generation: Int): List<String> = siblings.filter { (recorded[it] ?: Generation.FIRST) < generation || (heard[it] ?: generation) < generation }
+    /** The peers that are not known to run [generation] or a later one. */
+    fun lacking(generation: Int): List<String> = peers.filter { (recorded[it] ?: Generation.FIRST) < generation || (announced[it] ?: generation) < generation }
 }
--- a/src/main/kotlin/mintfield/io/http/HttpClient.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpClient.kt
@@ -24,7 +24,7 @@
     /** No answer. Only with [sent] false is it certain that the request was not and will not be executed. */
     class None(
         val sent: Boolean,
-        val why: String,
+        val reason: String,
         /** An answer came that is longer than the client takes. */
         val tooLarge: Boolean = false,
     ) : Reply
--- a/src/main/kotlin/mintfield/io/http/HttpServer.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpServer.kt
@@ -96,7 +96,7 @@
 
     /**
      * Connections that are waiting are taken several at a time, ahead of other events: each used to wait for its turn behind
-     * all that was queued, and after a take-over workers lost their leases in the kernel's queue.
+     * all that was queued, and after a failover workers lost their leases in the kernel's queue.
      */
     private suspend fun acceptAll() {
         var inRow = 0
--- a/src/main/kotlin/mintfield/io/loop/Pacer.kt
+++ b/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
@@ -5,7 +5,7 @@
 import kotlin.coroutines.resume
 
 /** Lets through [rate] permits a second with bursts of [burst]; the urgent go before the rest. */
-class Pacer(
+class RateLimiter(
     private val loop: EventLoop,
     rate: Double,
     private var burst: Double,
--- a/src/main/kotlin/mintfield/io/settings/OperatorFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/OperatorFile.kt
@@ -4,8 +4,8 @@
 import com.bertramlabs.plugins.hcl4j.HCLParserException
 import mintfield.core.model.LogFormat
 import mintfield.core.model.OperatorSettings
-import mintfield.core.ownership.ShareSettings
-import mintfield.core.ownership.SharingSettings
+import mintfield.core.ownership.ShardSettings
+import mintfield.core.ownership.ShardingSettings
 
 /** Reads the operators' own settings (HCL). Unlike the platform's file, a field that is not known is a mistake. */
 object OperatorFile {
@@ -38,9 +38,9 @@
                 logFormat = format(log["format"]),
                 leaderLeaseMs = number("tuning", tuning, "leader_lease_ms", 1_000.0, 600_000.0, defaults.leaderLeaseMs.toDouble()).toLong(),
                 headroom = number("tuning", tuning, "headroom", 1.0, 10.0, defaults.headroom),
-                idleReturnMs = number("tuning", tuning, "idle_return_ms", 1_000.0, 86_400_000.0, defaults.idleReturnMs.toDouble()).toLong(),
-                silentReturnMs = tuning["silent_return_ms"]?.let { number("tuning", tuning, "silent_return_ms", 12_000.0, 3_600_000.0, 0.0).toLong() },
-                sharing = if ("sharing" in root) sharing(block(root, "sharing", setOf("share"))) else null,
+                idleReleaseMs = number("tuning", tuning, "idle_return_ms", 1_000.0, 86_400_000.0, defaults.idleReleaseMs.toDouble()).toLong(),
+                unresponsiveReleaseMs = tuning["silent_return_ms"]?.let { number("tuning", tuning, "silent_return_ms", 12_000.0, 3_600_000.0, 0.0).toLong() },
+                sharding = if ("sharing" in root) sharding(block(root, "sharing", setOf("share"))) else null,
                 traceFile = if ("tracing" in root) traceFile(tracing["file"]) else null,
                 fleetMachines = fleet["machines"]?.let { number("fleet", fleet, "machines", 1.0, 1_000_000.0, 0.0).toInt() },
             )
@@ -49,30 +49,30 @@
         private fun traceFile(value: Any?): String =
             (value as? String)?.takeIf { it.isNotBlank() } ?: throw SettingsFault("$name: tracing.file: expected the name of a file, found $value")
 
-        private fun sharing(map: Map<String, Any?>): SharingSettings {
-            val shares = block("sharing.", map, "share", null)
-            if (shares.isEmpty()) throw SettingsFault("$name: sharing.share: expected at least one block, found none")
-            return SharingSettings(shares.keys.map { share(it, block("sharing.share.", shares, it, setOf("home", "teams", "floor", "ceiling", "weight"))) })
+        private fun sharding(map: Map<String, Any?>): ShardingSettings {
+            val shards = block("sharing.", map, "share", null)
+            if (shards.isEmpty()) throw SettingsFault("$name: sharing.share: expected at least one block, found none")
+            return ShardingSettings(shards.keys.map { shard(it, block("sharing.share.", shards, it, setOf("home", "teams", "floor", "ceiling", "weight"))) })
         }
 
-        private fun share(
-            share: String,
+        private fun shard(
+            shard: String,
             map: Map<String, Any?>,
-        ): ShareSettings {
-            val at = "sharing.share $share"
-            if (!SHARE_NAME.matches(share)) throw SettingsFault("$name: $at: expected a name of letters, digits and dashes")
+        ): ShardSettings {
+            val at = "sharing.share $shard"
+            if (!SHARD_NAME.matches(shard)) throw SettingsFault("$name: $at: expected a name of letters, digits and dashes")
             val home = map["home"] as? String ?: throw SettingsFault("$name: $at.home: expected a controller's name, found ${map["home"]}")
             val teams = (map["teams"] as? List<*>)?.takeIf { list -> list.all { it is String } }
             val floor = number(at, map, "floor", 0.0, MOST_MACHINES, 0.0).toInt()
             val ceiling = number(at, map, "ceiling", 1.0, MOST_MACHINES, MOST_MACHINES).toInt()
             if (floor > ceiling) throw SettingsFault("$name: $at.floor: expected no more than the ceiling $ceiling, found $floor")
-            return ShareSettings(
-                share,
+            return ShardSettings(
+                shard,
                 home,
                 teams?.filterIsInstance<String>() ?: throw SettingsFault("$name: $at.teams: expected a list of teams' names, found ${map["teams"]}"),
                 floor,
                 ceiling,
-                number(at, map, "weight", LEAST_WEIGHT, MOST_WEIGHT, ShareSettings.DEFAULT_WEIGHT),
+                number(at, map, "weight", LEAST_WEIGHT, MOST_WEIGHT, ShardSettings.DEFAULT_WEIGHT),
             )
         }
 
@@ -133,7 +133,7 @@
             const val MOST_MACHINES = 1_000_000.0
             const val LEAST_WEIGHT = 0.01
             const val MOST_WEIGHT = 100.0
-            val SHARE_NAME = Regex("[A-Za-z0-9-]{1,60}")
+            val SHARD_NAME = Regex("[A-Za-z0-9-]{1,60}")
         }
     }
 }
--- a/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.dataformat.toml.TomlFactory
 import mintfield.core.model.Objective
+import mintfield.core.model.Peer
 import mintfield.core.model.Settings
-import mintfield.core.model.Sibling
 import mintfield.core.model.StateLimits
 import mintfield.core.model.Team
 import mintfield.io.http.parseAddress
@@ -63,17 +63,17 @@
                 zone = text(root, "zone"),
                 clientListen = address(root, "client_listen"),
                 internalAddress = address(root, "internal_addr"),
-                siblings =
+                peers =
                     list(root, "siblings").map { it.asMap() ?: emptyMap() }.mapIndexed { i, n ->
                         val at = "siblings[$i]."
-                        Sibling(text(n, "member", at), text(n, "zone", at), address(n, "address", at))
+                        Peer(text(n, "member", at), text(n, "zone", at), address(n, "address", at))
                     },
                 cloudAddress = address(at("outside"), "cloud", "outside."),
                 stateAddress = address(at("outside"), "state", "outside."),
                 zones = list(at("params"), "zones").map { it.toString() },
                 teams = list(at("params"), "teams").map { it.asMap() ?: emptyMap() }.mapIndexed { i, n -> team(n, "params.teams[$i].") },
                 objectives = list(at("params"), "objectives").map { it.asMap() ?: emptyMap() }.mapIndexed { i, n -> objective(n, "params.objectives[$i].") },
-                reportS = number(at("params.workers"), "report_s", "params.workers."),
+                heartbeatIntervalS = number(at("params.workers"), "report_s", "params.workers."),
                 leaseS = number(at("params.workers"), "lease_s", "params.workers."),
                 cancelS = number(at("params.workers"), "cancel_s", "params.workers."),
                 stateRps = number(at("params.state"), "rps", "params.state."),
--- a/src/main/kotlin/mintfield/io/store/Keys.kt
+++ b/src/main/kotlin/mintfield/io/store/Keys.kt
@@ -1,6 +1,6 @@
 package mintfield.io.store
 
-/** Names of the keys in the state service that do not belong to one leader; see [LeaderKeys] for the others. */
+/** Names of the keys in the store that do not belong to one leader; see [LeaderKeys] for the others. */
 object Keys {
     /** Both live jobs and final states, so that one watch brings both. */
     const val JOBS = "mf/j/"
--- a/src/main/kotlin/mintfield/io/store/Records.kt
+++ b/src/main/kotlin/mintfield/io/store/Records.kt
@@ -1,16 +1,16 @@
 package mintfield.io.store
 
 import com.fasterxml.jackson.core.JsonGenerator
-import mintfield.core.Hints
-import mintfield.core.RentIntent
-import mintfield.core.fleet.DisownRecord
+import mintfield.core.LearnedState
+import mintfield.core.ScaleOutIntent
+import mintfield.core.fleet.ZoneFence
 import mintfield.core.jobs.PlannedGroup
 import mintfield.core.jobs.RoundPart
 import mintfield.core.jobs.RoundRecord
-import mintfield.core.jobs.Shards
+import mintfield.core.jobs.TaskChunks
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
-import mintfield.core.model.Stage
+import mintfield.core.model.JobPhase
 import mintfield.core.steps.JobSteps
 import mintfield.io.json.Json
 import mintfield.io.json.asList
@@ -43,7 +43,7 @@
     /** Stands for a name that was left out of a record. */
     private const val LEFT_OUT = "-"
 
-    private val FINAL_STAGES = setOf(Stage.DONE, Stage.WITHDRAWN)
+    private val FINAL_STAGES = setOf(JobPhase.DONE, JobPhase.CANCELLED)
 
     fun live(job: AcceptedJob): ByteArray =
         Json.obj {
@@ -55,10 +55,10 @@
                 writeEndObject()
             }
             writeNumberField("at", job.acceptedAtMs)
-            if (job.withdrawn) writeBooleanField("withdrawn", true)
-            if (JobSteps.FITS in JobSteps.recorded) {
+            if (job.cancelled) writeBooleanField("withdrawn", true)
+            if (JobSteps.COMPATIBLE_TYPES in JobSteps.recorded) {
                 writeArrayFieldStart("fits")
-                job.fits.forEach { writeString(it) }
+                job.compatibleTypes.forEach { writeString(it) }
                 writeEndArray()
             }
         }
@@ -66,29 +66,29 @@
     fun generation(generation: Int): ByteArray = Json.obj { writeNumberField(GENERATION, generation) }
 
     /**
-     * The record of a job that is now withdrawn. One that was written under higher limits may be larger than [maxBytes]; then what
+     * The record of a job that is now cancelled. One that was written under higher limits may be larger than [maxBytes]; then what
      * only a start of its tasks needs is left out, as they never start again.
      */
-    fun withdrawn(
+    fun cancelled(
         job: AcceptedJob,
         maxBytes: Int,
     ): ByteArray {
-        val whole = live(job.copy(withdrawn = true))
+        val whole = live(job.copy(cancelled = true))
         if (whole.size <= maxBytes) return whole
         val spec = job.spec.copy(jobClass = LEFT_OUT, image = LEFT_OUT, types = null, zone = null, predecessors = emptyList())
-        return live(job.copy(spec = spec, withdrawn = true, fits = emptyList()))
+        return live(job.copy(spec = spec, cancelled = true, compatibleTypes = emptyList()))
     }
 
     fun parseLive(
         data: Map<String, Any?>,
-        mark: Long,
-        fitsAnew: (AcceptedJob) -> List<String>,
+        revision: Long,
+        recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
     ): AcceptedJob? {
         val described = (JobCodec.parse(data[INDEPENDENT_SPEC] ?: data[DEPENDENT_SPEC]) as? JobCodec.Parsed.Valid)?.spec ?: return null
         val spec = if (INDEPENDENT_SPEC in data) described else described.copy(predecessors = parsePredecessors(data) ?: return null)
-        val fits = data["fits"].asList()?.filterIsInstance<String>()
-        val job = AcceptedJob(spec, mark, data.long("at") ?: 0, data.bool("withdrawn") ?: false, fits ?: emptyList())
-        return if (fits == null) job.copy(fits = fitsAnew(job)) else job
+        val compatibleTypes = data["fits"].asList()?.filterIsInstance<String>()
+        val job = AcceptedJob(spec, revision, data.long("at") ?: 0, data.bool("withdrawn") ?: false, compatibleTypes ?: emptyList())
+        return if (compatibleTypes == null) job.copy(compatibleTypes = recomputeCompatibleTypes(job)) else job
     }
 
     /** Null if they cannot be read: a job of which it is not known what it waits for must not start. */
@@ -101,7 +101,7 @@
             if (state.endedAtMs > 0) writeNumberField("at", state.endedAtMs)
         }
 
-    /** Null if it cannot be read: what is not known to be withdrawn is not called so. */
+    /** Null if it cannot be read: what is not known to be cancelled is not called so. */
     fun parseFinal(data: Map<String, Any?>): FinalState? {
         val stage = JobPhaseCodec.parse(data.string("stage"))?.takeIf { it in FINAL_STAGES } ?: return null
         return FinalState(stage, data.long("tasks")?.toInt() ?: 0, data.long("at") ?: 0)
@@ -110,15 +110,15 @@
     private fun plans(
         to: JsonGenerator,
         plans: List<PlannedGroup>,
-        shard: Int,
+        chunk: Int,
     ) = with(to) {
         writeArrayFieldStart("plan")
         for (g in plans) {
             writeStartArray()
             writeString(g.machine)
-            writeNumber(g.season)
+            writeNumber(g.incarnation)
             writeNumber(g.attempt)
-            writeString(Shards.ranges(g.indices, shard * Shards.TASKS))
+            writeString(TaskChunks.ranges(g.indices, chunk * TaskChunks.TASKS))
             writeEndArray()
         }
         writeEndArray()
@@ -129,13 +129,13 @@
         Json.obj {
             writeArrayFieldStart("parts")
             for (part in record.parts) {
-                val base = part.shard * Shards.TASKS
+                val base = part.chunk * TaskChunks.TASKS
                 writeStartObject()
                 writeStringField("job", part.job)
-                writeNumberField("shard", part.shard)
-                if (JobSteps.PLAN in JobSteps.recorded && part.plans.isNotEmpty()) plans(this, part.plans, part.shard)
-                if (JobSteps.DONE_SET in JobSteps.recorded && part.done.isNotEmpty()) writeStringField("done", Shards.ranges(part.done, base))
-                if (part.freed.isNotEmpty()) writeStringField("free", Shards.ranges(part.freed, base))
+                writeNumberField("shard", part.chunk)
+                if (JobSteps.PLAN in JobSteps.recorded && part.plans.isNotEmpty()) plans(this, part.plans, part.chunk)
+                if (JobSteps.DONE_SET in JobSteps.recorded && part.done.isNotEmpty()) writeStringField("done", TaskChunks.ranges(part.done, base))
+                if (part.released.isNotEmpty()) writeStringField("free", TaskChunks.ranges(part.released, base))
                 writeEndObject()
             }
             writeEndArray()
@@ -162,18 +162,18 @@
     }
 
     private fun parsePart(part: Map<String, Any?>): RoundPart {
-        val shard = requireNotNull(part.long("shard")) { "no shard" }.toInt()
-        val base = shard * Shards.TASKS
+        val chunk = requireNotNull(part.long("shard")) { "no shard" }.toInt()
+        val base = chunk * TaskChunks.TASKS
 
-        fun ranges(field: String) = if (field in part) Shards.parseRanges(requireNotNull(part.string(field)), base) else emptyList()
-        val plans = if ("plan" in part) parsePlans(part["plan"], shard) else emptyList()
-        return RoundPart(requireNotNull(part.string("job")) { "no job" }, shard, plans, ranges("done"), ranges("free"))
+        fun ranges(field: String) = if (field in part) TaskChunks.parseRanges(requireNotNull(part.string(field)), base) else emptyList()
+        val plans = if ("plan" in part) parsePlans(part["plan"], chunk) else emptyList()
+        return RoundPart(requireNotNull(part.string("job")) { "no job" }, chunk, plans, ranges("done"), ranges("free"))
     }
 
     /** A part read in part would be a plan forgotten, and its tasks started twice: all of it, or an error. */
     private fun parsePlans(
         plans: Any?,
-        shard: Int,
+        chunk: Int,
     ): List<PlannedGroup> =
         requireNotNull(plans.asList()) { "no plan" }.map { item ->
             val g = requireNotNull(item.asList()?.takeIf { it.size == 4 }) { "a group of ${item.asList()?.size} fields" }
@@ -181,18 +181,18 @@
                 requireNotNull(g[0] as? String) { "no machine" },
                 requireNotNull(Json.asLong(g[1])) { "no season" },
                 requireNotNull(Json.asLong(g[2])) { "no attempt" },
-                Shards.parseRanges(requireNotNull(g[3] as? String) { "no tasks" }, shard * Shards.TASKS),
+                TaskChunks.parseRanges(requireNotNull(g[3] as? String) { "no tasks" }, chunk * TaskChunks.TASKS),
             )
         }
 
     /** Cut to what [maxBytes] allows: the machines that come last are left out, then classes and jobs. */
-    fun hints(
-        hints: Hints,
+    fun learnedState(
+        learnedState: LearnedState,
         maxBytes: Int,
     ): ByteArray {
-        var machines = hints.machineImages.entries.toList()
-        var classes = hints.logRatio.entries.toList()
-        var doubted = hints.doubted.entries.toList()
+        var machines = learnedState.machineImages.entries.toList()
+        var classes = learnedState.logRatio.entries.toList()
+        var suspectJobs = learnedState.suspectJobs.entries.toList()
         while (true) {
             val bytes =
                 Json.obj {
@@ -201,10 +201,10 @@
                     writeEndObject()
                     writeObjectFieldStart("gb")
                     val named = machines.flatMapTo(HashSet()) { it.value }
-                    hints.imageGb.forEach { (k, v) -> if (k in named) writeNumberField(k, v) }
+                    learnedState.imageGb.forEach { (k, v) -> if (k in named) writeNumberField(k, v) }
                     writeEndObject()
                     writeObjectFieldStart("doubted")
-                    doubted.forEach { (k, v) -> writeNumberField(k, v) }
+                    suspectJobs.forEach { (k, v) -> writeNumberField(k, v) }
                     writeEndObject()
                     writeObjectFieldStart("machines")
                     for ((id, images) in machines) {
@@ -216,15 +216,15 @@
                 }
             if (bytes.size <= maxBytes) return bytes
             if (machines.isEmpty()) {
-                check(classes.isNotEmpty() || doubted.isNotEmpty()) { "a value of $maxBytes bytes holds no hints at all" }
+                check(classes.isNotEmpty() || suspectJobs.isNotEmpty()) { "a value of $maxBytes bytes holds no hints at all" }
                 classes = classes.take(classes.size / 2)
-                doubted = doubted.take(doubted.size / 2)
+                suspectJobs = suspectJobs.take(suspectJobs.size / 2)
             }
             machines = machines.take(machines.size * 3 / 4)
         }
     }
 
-    fun parseHints(data: Map<String, Any?>): Hints {
+    fun parseLearnedState(data: Map<String, Any?>): LearnedState {
         fun numbers(field: String) =
             data[field]
                 .asMap()
@@ -238,10 +238,10 @@
                     .orEmpty()
                     .filterIsInstance<String>()
             }
-        return Hints(numbers("gb"), machines, numbers("ratio"), numbers("doubted").mapValues { it.value.toInt() })
+        return LearnedState(numbers("gb"), machines, numbers("ratio"), numbers("doubted").mapValues { it.value.toInt() })
     }
 
-    fun disowned(record: DisownRecord): ByteArray =
+    fun zoneFences(record: ZoneFence): ByteArray =
         Json.obj {
             writeNumberField("since", record.sinceWallMs)
             writeArrayFieldStart("machines")
@@ -250,15 +250,15 @@
         }
 
     /** Null if it cannot be read. */
-    fun parseDisowned(
+    fun parseZoneFence(
         key: String,
         data: Map<String, Any?>,
-    ): DisownRecord? {
+    ): ZoneFence? {
         val machines = data["machines"].asList() ?: return null
-        return DisownRecord(key, machines.map { it as? String ?: return null }, data.long("since") ?: return null)
+        return ZoneFence(key, machines.map { it as? String ?: return null }, data.long("since") ?: return null)
     }
 
-    fun intent(i: RentIntent): ByteArray =
+    fun intent(i: ScaleOutIntent): ByteArray =
         Json.obj {
             writeStringField("type", i.type)
             writeStringField("zone", i.zone)
@@ -267,10 +267,10 @@
         }
 
     fun parseIntent(
-        plea: String,
+        idempotencyKey: String,
         data: Map<String, Any?>,
-    ) = RentIntent(
-        plea,
+    ) = ScaleOutIntent(
+        idempotencyKey,
         data.string("type") ?: "",
         data.string("zone") ?: "",
         data.bool("spot") ?: false,
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -8,13 +8,13 @@
 import mintfield.io.json.asMap
 import mintfield.io.json.long
 import mintfield.io.json.string
-import mintfield.io.loop.Pacer
+import mintfield.io.loop.RateLimiter
 
 /** A key with its value, the revision of its last change and the store lease it hangs on. */
 class Entry(
     val key: String,
     val data: Map<String, Any?>,
-    val mark: Long,
+    val revision: Long,
     val lease: Long?,
 )
 
@@ -22,7 +22,7 @@
 class Change(
     val key: String,
     val data: Map<String, Any?>?,
-    val mark: Long,
+    val revision: Long,
 )
 
 sealed interface StoreResult<out T> {
@@ -37,7 +37,7 @@
 
     /** No answer: executed, not executed, or to be executed later. */
     data class Unknown(
-        val why: String,
+        val reason: String,
         /** An answer came, but it is longer than this program takes. */
         val tooLarge: Boolean = false,
     ) : StoreResult<Nothing>
@@ -56,7 +56,7 @@
     val tooOld: Boolean,
 ) {
     /** The change with the highest revision: a list of changes is in no order that could be relied on. */
-    fun newest(): Change? = log.maxByOrNull { it.mark }
+    fun newest(): Change? = log.maxByOrNull { it.revision }
 }
 
 sealed interface TxnOutcome {
@@ -92,19 +92,19 @@
     ) : KeyWrite
 }
 
-class Guard(
+class Precondition(
     val key: String,
-    val mark: Long,
+    val revision: Long,
 )
 
-/** The state service's interface, paced to the limits it publishes. */
+/** The store's interface, paced to the limits it publishes. */
 class StoreClient(
     private val calls: HttpClient,
     private val watches: HttpClient,
-    private val requests: Pacer,
+    private val requests: RateLimiter,
 ) {
     /** What became of a call: the service did its work, refused it, or gave no answer at all. */
-    enum class Contact { SERVED, REFUSED, SILENT }
+    enum class Contact { SERVED, REFUSED, UNRESPONSIVE }
 
     /** Told of each. */
     var onContact: (Contact) -> Unit = {}
@@ -125,8 +125,8 @@
             }
 
             is Reply.None -> {
-                onContact(Contact.SILENT)
-                if (reply.sent) StoreResult.Unknown(reply.why, reply.tooLarge) else StoreResult.Refused(0)
+                onContact(Contact.UNRESPONSIVE)
+                if (reply.sent) StoreResult.Unknown(reply.reason, reply.tooLarge) else StoreResult.Refused(0)
             }
         }
     }
@@ -155,11 +155,11 @@
         }
 
     suspend fun txn(
-        guards: List<Guard>,
+        preconditions: List<Precondition>,
         writes: List<KeyWrite>,
         urgent: Boolean = false,
     ): StoreResult<TxnOutcome> {
-        val result = ask("POST", "/txn", txnBody(guards, writes), urgent)
+        val result = ask("POST", "/txn", txnBody(preconditions, writes), urgent)
         return result.map { a ->
             when (a.status) {
                 200 -> TxnOutcome.Applied(a.json.long("ledger") ?: 0)
@@ -199,9 +199,9 @@
             val log =
                 a.json["log"].asList().orEmpty().mapNotNull { item ->
                     val change = item.asMap() ?: return@mapNotNull null
-                    val mark = change.long("mark") ?: 0
-                    change.string("write")?.let { Change(it, change["data"].asMap() ?: emptyMap(), mark) }
-                        ?: change.string("delete")?.let { Change(it, null, mark) }
+                    val revision = change.long("mark") ?: 0
+                    change.string("write")?.let { Change(it, change["data"].asMap() ?: emptyMap(), revision) }
+                        ?: change.string("delete")?.let { Change(it, null, revision) }
                 }
             Changes(a.json.long("ledger") ?: after, log, tooOld = false)
         }
@@ -230,16 +230,16 @@
 
     companion object {
         fun txnBody(
-            guards: List<Guard>,
+            preconditions: List<Precondition>,
             writes: List<KeyWrite>,
         ): ByteArray =
             Json.write { g ->
                 g.writeStartObject()
                 g.writeArrayFieldStart("guards")
-                for (guard in guards) {
+                for (precondition in preconditions) {
                     g.writeStartObject()
-                    g.writeStringField("k", guard.key)
-                    g.writeNumberField("mark", guard.mark)
+                    g.writeStringField("k", precondition.key)
+                    g.writeNumberField("mark", precondition.revision)
                     g.writeEndObject()
                 }
                 g.writeEndArray()
--- a/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
+++ b/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
@@ -61,7 +61,7 @@
     override fun ended(
         step: MoveStep,
         machine: String,
-        share: String,
+        shard: String,
         trace: String,
         tookMs: Long,
     ) {
@@ -75,7 +75,7 @@
                 .setParent(parent)
                 .setStartTimestamp(now - tookMs, TimeUnit.MILLISECONDS)
                 .startSpan()
-        span.setAttribute(MACHINE, machine).setAttribute(SHARE, share)
+        span.setAttribute(MACHINE, machine).setAttribute(SHARD, shard)
         span.end(now, TimeUnit.MILLISECONDS)
     }
 
@@ -109,6 +109,6 @@
         val MACHINE: AttributeKey<String> = AttributeKey.stringKey("mintfield.machine")
         val OWNER: AttributeKey<String> = AttributeKey.stringKey("mintfield.owner")
         val TARGET: AttributeKey<String> = AttributeKey.stringKey("mintfield.target")
-        val SHARE: AttributeKey<String> = AttributeKey.stringKey("mintfield.share")
+        val SHARD: AttributeKey<String> = AttributeKey.stringKey("mintfield.share")
     }
 }
