--- a/src/main/kotlin/mintfield/io/worker/WorkerCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/WorkerCodec.kt
@@ -4,22 +4,22 @@
 import com.fasterxml.jackson.core.JsonParser
 import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.core.JsonToken
-import mintfield.core.model.EndCause
-import mintfield.core.model.Order
-import mintfield.core.model.Report
-import mintfield.core.model.ReportedState
-import mintfield.core.model.ReportedTask
+import mintfield.core.model.ExitReason
+import mintfield.core.model.Heartbeat
 import mintfield.core.model.TaskId
+import mintfield.core.model.TaskState
+import mintfield.core.model.TaskStatus
+import mintfield.core.model.WorkerCommand
 import mintfield.io.json.Json
 import java.util.Arrays
 
 /** Reports and orders in the wire's words. Reports are the most frequent messages, so they are read as a stream. */
 object WorkerCodec {
-    /** What a report said of its tasks: the bytes from there to its end, and what they meant. */
-    private class Said(
+    /** What a heartbeat said of its tasks: the bytes from there to its end, and what they meant. */
+    private class CachedTasks(
         val body: ByteArray,
         val from: Int,
-        val tasks: List<ReportedTask>,
+        val tasks: List<TaskStatus>,
     ) {
         fun again(
             bytes: ByteArray,
@@ -35,41 +35,41 @@
         /** Machines remembered: at least as many as can report here. */
         private val most: Int,
     ) {
-        private val said =
-            object : LinkedHashMap<String, Said>(64, 0.75f, true) {
-                override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, Said>) = size > most
+        private val cache =
+            object : LinkedHashMap<String, CachedTasks>(64, 0.75f, true) {
+                override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, CachedTasks>) = size > most
             }
 
-        fun report(bytes: ByteArray): Report? = parse(bytes, said)
+        fun heartbeat(bytes: ByteArray): Heartbeat? = parse(bytes, cache)
     }
 
-    fun report(bytes: ByteArray): Report? = parse(bytes, null)
+    fun heartbeat(bytes: ByteArray): Heartbeat? = parse(bytes, null)
 
     private fun parse(
         bytes: ByteArray,
-        said: MutableMap<String, Said>?,
-    ): Report? =
+        cache: MutableMap<String, CachedTasks>?,
+    ): Heartbeat? =
         try {
-            Json.factory.createParser(bytes).use { p -> if (p.nextToken() == JsonToken.START_OBJECT) report(p, bytes, said) else null }
+            Json.factory.createParser(bytes).use { p -> if (p.nextToken() == JsonToken.START_OBJECT) heartbeat(p, bytes, cache) else null }
         } catch (_: JsonProcessingException) {
             null
         }
 
-    private fun report(
+    private fun heartbeat(
         p: JsonParser,
         bytes: ByteArray,
-        said: MutableMap<String, Said>?,
-    ): Report? {
+        cache: MutableMap<String, CachedTasks>?,
+    ): Heartbeat? {
         var machine: String? = null
         var address = ""
         var type = ""
         var zone = ""
         var spot = false
-        var season = -1L
-        var tally = -1L
+        var incarnation = -1L
+        var sequence = -1L
         var term = 0L
         var notice: Double? = null
-        var tasks: List<ReportedTask> = emptyList()
+        var tasks: List<TaskStatus> = emptyList()
         var next = p.nextToken()
         while (next == JsonToken.FIELD_NAME) {
             val field = p.currentName()
@@ -81,14 +81,14 @@
                 "breed" -> type = p.valueAsString ?: ""
                 "field" -> zone = p.valueAsString ?: ""
                 "gleaning" -> spot = p.valueAsBoolean
-                "season" -> season = p.valueAsLong
-                "tally" -> tally = p.valueAsLong
+                "season" -> incarnation = p.valueAsLong
+                "tally" -> sequence = p.valueAsLong
                 "staff" -> term = p.valueAsLong
                 "reclaimS" -> notice = if (token == JsonToken.VALUE_NULL) null else p.valueAsDouble
                 "pieces" ->
                     if (token == JsonToken.START_ARRAY) {
                         val at = p.currentTokenLocation().byteOffset.toInt()
-                        val before = machine?.let { said?.get(it) }
+                        val before = machine?.let { cache?.get(it) }
                         if (before != null && before.again(bytes, at)) {
                             tasks = before.tasks
                             break
@@ -96,7 +96,7 @@
                         tasks = tasks(p)
                         next = p.nextToken()
                         // Only if nothing follows does the rest of the bytes tell all that has not been read.
-                        if (next == JsonToken.END_OBJECT && said != null) machine?.let { said[it] = Said(bytes, at, tasks) }
+                        if (next == JsonToken.END_OBJECT && cache != null) machine?.let { cache[it] = CachedTasks(bytes, at, tasks) }
                     } else {
                         p.skipChildren()
                     }
@@ -104,17 +104,17 @@
             }
             next = next ?: p.nextToken()
         }
-        if (machine == null || season < 0 || tally < 0) return null
-        return Report(machine, address, type, zone, spot, season, tally, term, notice, tasks)
+        if (machine == null || incarnation < 0 || sequence < 0) return null
+        return Heartbeat(machine, address, type, zone, spot, incarnation, sequence, term, notice, tasks)
     }
 
-    private fun tasks(p: JsonParser): List<ReportedTask> {
-        val list = ArrayList<ReportedTask>()
+    private fun tasks(p: JsonParser): List<TaskStatus> {
+        val list = ArrayList<TaskStatus>()
         while (p.nextToken() == JsonToken.START_OBJECT) {
             var task: TaskId? = null
             var attempt = 0L
-            var state = ReportedState.RUNNING
-            var cause: EndCause? = null
+            var state = TaskState.RUNNING
+            var cause: ExitReason? = null
             while (p.nextToken() == JsonToken.FIELD_NAME) {
                 val field = p.currentName()
                 p.nextToken()
@@ -126,61 +126,61 @@
                     else -> p.skipChildren()
                 }
             }
-            task?.let { list.add(ReportedTask(it, attempt, state, cause)) }
+            task?.let { list.add(TaskStatus(it, attempt, state, cause)) }
         }
         return list
     }
 
     private fun state(word: String?) =
         when (word) {
-            "pulling", "gathering" -> ReportedState.PULLING
-            "saving" -> ReportedState.SAVING
-            "ended" -> ReportedState.ENDED
-            else -> ReportedState.RUNNING
+            "pulling", "gathering" -> TaskState.PULLING
+            "saving" -> TaskState.CHECKPOINTING
+            "ended" -> TaskState.ENDED
+            else -> TaskState.RUNNING
         }
 
     private fun cause(word: String?) =
         when (word) {
             null -> null
-            "done" -> EndCause.DONE
-            "stopped" -> EndCause.STOPPED
-            "error" -> EndCause.ERROR
-            "no_room" -> EndCause.NO_ROOM
-            "in_use" -> EndCause.IN_USE
-            "no_such" -> EndCause.NO_SUCH
-            "mates_gone", "incomplete" -> EndCause.PEERS
-            else -> EndCause.UNKNOWN
+            "done" -> ExitReason.DONE
+            "stopped" -> ExitReason.STOPPED
+            "error" -> ExitReason.ERROR
+            "no_room" -> ExitReason.INSUFFICIENT_RESOURCES
+            "in_use" -> ExitReason.ALREADY_RUNNING
+            "no_such" -> ExitReason.UNKNOWN_TASK
+            "mates_gone", "incomplete" -> ExitReason.GANG_INCOMPLETE
+            else -> ExitReason.UNKNOWN
         }
 
-    fun orders(
+    fun commands(
         term: Long,
-        season: Long?,
-        orders: List<Order>,
+        incarnation: Long?,
+        commands: List<WorkerCommand>,
     ): ByteArray =
         Json.obj {
             writeNumberField("staff", term)
-            season?.let { writeNumberField("season", it) }
+            incarnation?.let { writeNumberField("season", it) }
             writeArrayFieldStart("orders")
-            orders.forEach { order(this, it) }
+            commands.forEach { command(this, it) }
             writeEndArray()
         }
 
-    private fun order(
+    private fun command(
         g: JsonGenerator,
-        order: Order,
+        command: WorkerCommand,
     ) {
         g.writeStartObject()
         g.writeStringField(
             "verb",
-            when (order) {
-                is Order.Run -> "run"
-                is Order.Halt -> "halt"
-                is Order.Clear -> "clear"
+            when (command) {
+                is WorkerCommand.Start -> "run"
+                is WorkerCommand.Stop -> "halt"
+                is WorkerCommand.Acknowledge -> "clear"
             },
         )
-        g.writeStringField("piece", order.task.toString())
-        g.writeNumberField("sowing", order.attempt)
-        if (order is Order.Halt) g.writeNumberField("graceS", order.graceS)
+        g.writeStringField("piece", command.task.toString())
+        g.writeNumberField("sowing", command.attempt)
+        if (command is WorkerCommand.Stop) g.writeNumberField("graceS", command.graceS)
         g.writeEndObject()
     }
 }
