--- a/src/test/kotlin/mintfield/HttpParserTest.kt
+++ b/src/test/kotlin/mintfield/io/http/HttpParserTest.kt
@@ -1,8 +1,5 @@
-package mintfield
+package mintfield.io.http
 
-import mintfield.io.http.HttpFault
-import mintfield.io.http.HttpMessage
-import mintfield.io.http.HttpParser
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/mintfield/EventLoopTest.kt
+++ b/src/test/kotlin/mintfield/io/loop/EventLoopTest.kt
@@ -1,6 +1,5 @@
-package mintfield
+package mintfield.io.loop
 
-import mintfield.io.loop.EventLoop
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/mintfield/ChangesTest.kt
+++ b/src/test/kotlin/mintfield/io/store/ChangesTest.kt
@@ -1,7 +1,5 @@
-package mintfield
+package mintfield.io.store
 
-import mintfield.io.store.Change
-import mintfield.io.store.Changes
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/mintfield/standin/RecordedUsers.kt
+++ b/src/test/kotlin/mintfield/standin/RecordedUsers.kt
@@ -1,13 +1,13 @@
 package mintfield.standin
 
-import java.util.concurrent.CompletableFuture
-import java.util.concurrent.ConcurrentLinkedQueue
 import mintfield.history.Answer
 import mintfield.history.Operation
 import mintfield.history.RequestKind
 import mintfield.io.http.Reply
 import mintfield.io.json.string
 import mintfield.io.worker.JobPhaseCodec
+import java.util.concurrent.CompletableFuture
+import java.util.concurrent.ConcurrentLinkedQueue
 
 /** Users whose every request, with its times and its answer, is kept as a history. */
 class RecordedUsers(
