--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -21,7 +21,11 @@
 import mintfield.app.upgrade.VersionRecords
 import mintfield.core.ConnectionLimits
 import mintfield.core.FleetCapacityCheck
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PeerConstants
+import mintfield.core.constants.StoreConstants
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.leadership.CancellationLog
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.leadership.CancellationWatermark
@@ -53,7 +57,7 @@
     private val scope = loop.scope()
     private val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
     private val services = ExternalServices(settings, loop, group)
-    private val checkGapMs = (1000 / (settings.stateRps * Tuning.CHECK_SHARE)).toLong()
+    private val checkGapMs = (1000 / (settings.stateRps * StoreConstants.FRESHNESS_CHECK_FRACTION)).toLong()
     private val replicator =
         JobReplicator(services.store, scope, checkGapMs, loop::nowMs) { compatibleMachineTypes(it.spec, services.types.values) }
     private val cancellationWatermark = CancellationWatermark(settings.peers.map { it.member })
@@ -137,8 +141,8 @@
      * of them, several times a second, is what keeps a small controller from finding out.
      */
     private suspend fun serveClients() {
-        val until = loop.nowMs() + Tuning.LISTEN_WITHOUT_LEADER_MS
-        while (!elections.anyKnown && loop.nowMs() < until) delay(Tuning.LISTEN_STEP_MS)
+        val until = loop.nowMs() + LeadershipConstants.LISTEN_DELAY_WITHOUT_LEADER_MS
+        while (!elections.anyKnown && loop.nowMs() < until) delay(LeadershipConstants.LEADER_KNOWN_CHECK_MS)
         clientServer.startWhenFree(parseAddress(settings.clientListen)!!)
         Log.info("${settings.member} in ${settings.zone} serves ${settings.clientListen}")
     }
@@ -146,16 +150,16 @@
     private suspend fun prepare() {
         while (services.types.isEmpty()) {
             services.readTypes()
-            if (services.types.isEmpty()) delay(Tuning.CLOUD_RETRY_MS)
+            if (services.types.isEmpty()) delay(FleetConstants.CLOUD_RETRY_MS)
         }
-        while (!replicator.loaded) if (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.loaded) if (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
         versions.record()
     }
 
     /** Gives up shares that another controller should lead: their homes, or any other if this one is drained. */
     private suspend fun transferShards() {
         while (true) {
-            delay(Tuning.WATCH_MS)
+            delay(PeerConstants.HEALTH_CHECK_MS)
             for (member in elections.members) {
                 val shard = member.shard ?: continue
                 if (member.leader != null) succession.reasonToTransfer(shard, loop.nowMs())?.let { member.transferLeadership(it) }
@@ -166,7 +170,7 @@
     /** While the store cannot be reached users are refused without asking it; so something else must notice its return. */
     private suspend fun lookForStore() {
         while (true) {
-            delay(Tuning.STORE_RETRY_MS * 2)
+            delay(StoreConstants.STORE_RETRY_MS * 2)
             if (peers.isStoreUnavailable()) replicator.current()
         }
     }
@@ -174,12 +178,12 @@
     /** What a person on call must be able to see of any controller: that it stood still, what it is asked, who is silent. */
     private suspend fun watchOver() {
         var place: String? = null
-        var summaryAt = loop.nowMs() + Tuning.SUMMARY_MS
+        var summaryAt = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
         while (true) {
             val from = loop.nowMs()
-            delay(Tuning.WATCH_MS)
-            val lost = loop.nowMs() - from - Tuning.WATCH_MS
-            if (lost > Tuning.STOOD_STILL_MS) Log.info("this controller was paused for $lost ms")
+            delay(PeerConstants.HEALTH_CHECK_MS)
+            val lost = loop.nowMs() - from - PeerConstants.HEALTH_CHECK_MS
+            if (lost > PeerConstants.PAUSE_LOG_THRESHOLD_MS) Log.info("this controller was paused for $lost ms")
             val now = if (elections.leaders.isNotEmpty()) heartbeats.relayPeer() else null
             if (now != place) {
                 place = now
@@ -194,7 +198,7 @@
                 )
             }
             if (loop.nowMs() < summaryAt) continue
-            summaryAt = loop.nowMs() + Tuning.SUMMARY_MS
+            summaryAt = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
             services.metrics.takeSummary().let { if (it.isNotEmpty()) Log.info(it) }
         }
     }
@@ -246,9 +250,11 @@
 
     private fun ready(): Response =
         when {
-            !replicator.loaded || services.types.isEmpty() -> Response.error(503, "starting", Tuning.RETRY_AFTER_S)
-            peers.isolation.isRefusedAlone(loop.nowMs()) -> Response.error(503, "the state service refuses this node alone", Tuning.RETRY_AFTER_S)
-            peers.isolation.isCutOff(loop.nowMs()) -> Response.error(503, "cut off from the state service and the other controllers", Tuning.RETRY_AFTER_S)
+            !replicator.loaded || services.types.isEmpty() -> Response.error(503, "starting", UserApiConstants.RETRY_AFTER_S)
+            peers.isolation.isRefusedAlone(loop.nowMs()) -> Response.error(503, "the state service refuses this node alone", UserApiConstants.RETRY_AFTER_S)
+            peers.isolation.isCutOff(
+                loop.nowMs(),
+            ) -> Response.error(503, "cut off from the state service and the other controllers", UserApiConstants.RETRY_AFTER_S)
             else -> Response(200, Json.obj { writeBooleanField("ready", true) })
         }
 
--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -1,7 +1,7 @@
 package mintfield.app
 
 import mintfield.core.ConnectionLimits
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 import mintfield.core.model.MachineType
 import mintfield.core.model.Settings
 import mintfield.core.model.StateLimitsInForce
@@ -31,7 +31,7 @@
     val cloud =
         CloudClient(
             client(settings.cloudAddress, 1),
-            RateLimiter(loop, settings.cloudRps * Tuning.CLOUD_SHARE / callers, settings.cloudRps / callers),
+            RateLimiter(loop, settings.cloudRps * FleetConstants.CLOUD_CALL_FRACTION / callers, settings.cloudRps / callers),
         )
     val metrics = Metrics()
 
--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -1,7 +1,7 @@
 package mintfield.app.api
 
 import mintfield.app.replica.JobReplicator
-import mintfield.core.Tuning
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.JobPhase
 import mintfield.io.http.Response
@@ -143,5 +143,5 @@
     }
 
     /** A refusal that asks its user to come back. */
-    fun busy(reason: String) = Response.error(503, reason, Tuning.RETRY_AFTER_S)
+    fun busy(reason: String) = Response.error(503, reason, UserApiConstants.RETRY_AFTER_S)
 }
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -4,7 +4,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import mintfield.core.Tuning
+import mintfield.core.constants.StoreConstants
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.model.StateLimits
 import mintfield.core.model.StateLimitsInForce
 import mintfield.io.loop.EventLoop
@@ -49,7 +50,7 @@
     private var lanes = 0
     private var mostOps = limits.current.txnOps
     private var pacedFor = limits.current
-    private val rateLimiter = RateLimiter(loop, pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
+    private val rateLimiter = RateLimiter(loop, pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
 
     /** Told when the store refuses changes as too many, so that the leader can leave room for them. */
     var onCongestion: () -> Unit = {}
@@ -58,7 +59,7 @@
     val congested: Boolean get() = queue.isNotEmpty() || mostOps < limits.current.txnOps
 
     /** False when so much waits already that a further change would only grow old. */
-    val open: Boolean get() = queue.size < Tuning.MAX_WAITING_CHANGES
+    val open: Boolean get() = queue.size < UserApiConstants.MAX_WAITING_CHANGES
 
     suspend fun write(
         preconditions: List<Precondition>,
@@ -67,7 +68,7 @@
         if (!open) return WriteResult.REFUSED
         val change = Change(preconditions, writes, loop.nowMs())
         queue.addLast(change)
-        if (lanes < Tuning.CHANGE_LANES) {
+        if (lanes < UserApiConstants.MAX_CONCURRENT_CHANGES) {
             lanes++
             scope.launch {
                 try {
@@ -100,7 +101,7 @@
         if (pacedFor == limits.current) return
         pacedFor = limits.current
         mostOps = minOf(mostOps, pacedFor.txnOps)
-        rateLimiter.limit(pacedFor.writeRps * Tuning.CHANGE_WRITE_SHARE, pacedFor.txnOps.toDouble())
+        rateLimiter.limit(pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
     }
 
     private fun take(): List<Change> {
@@ -111,7 +112,7 @@
         var bytes = 0
         while (true) {
             val next = queue.firstOrNull() ?: break
-            if (batch.isNotEmpty() && (ops + next.writes.size > mostOps || bytes + next.bytes > Tuning.MAX_TXN_BYTES)) break
+            if (batch.isNotEmpty() && (ops + next.writes.size > mostOps || bytes + next.bytes > StoreConstants.MAX_TXN_BYTES)) break
             // Several users cancel the same job at once: a transaction that writes a key twice would be malformed.
             if (next.writes.any { it.key in keys }) break
             next.writes.mapTo(keys) { it.key }
@@ -152,12 +153,12 @@
 
                 is StoreResult.Refused -> {
                     if (r.status != TOO_MANY) return finish(batch, WriteResult.REFUSED)
-                    val (old, young) = batch.partition { loop.nowMs() - it.sinceMs > Tuning.CHANGE_PATIENCE_MS }
+                    val (old, young) = batch.partition { loop.nowMs() - it.sinceMs > UserApiConstants.CHANGE_TIMEOUT_MS }
                     finish(old, WriteResult.REFUSED)
                     onCongestion()
-                    mostOps = maxOf(Tuning.CHANGE_LEAST_OPS, mostOps / 2)
+                    mostOps = maxOf(UserApiConstants.MIN_CHANGE_OPS, mostOps / 2)
                     batch = putBack(young)
-                    if (batch.isNotEmpty()) delay(Tuning.STORE_RETRY_MS)
+                    if (batch.isNotEmpty()) delay(StoreConstants.STORE_RETRY_MS)
                 }
 
                 is StoreResult.Unknown -> {
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -10,7 +10,10 @@
 import mintfield.app.leader.Leader
 import mintfield.app.replica.JobReplicator
 import mintfield.app.sharding.ShardElection
-import mintfield.core.Tuning
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.leadership.CancellationWatermark
 import mintfield.core.leadership.LeaderRole
 import mintfield.core.leadership.LeaseClock
@@ -64,7 +67,7 @@
             } catch (e: IllegalStateException) {
                 coroutineContext[Job]?.let { if (!it.isActive) throw e }
                 Log.error("leadership: ${e.message}")
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
             }
         }
     }
@@ -73,7 +76,7 @@
         when (leaderRole.role) {
             Role.SEEKING, Role.FOLLOWING -> discoverLeader()
             Role.CANDIDATE -> campaign()
-            Role.LEADING -> delay(Tuning.TICK_MS)
+            Role.LEADING -> delay(PlacementConstants.TICK_INTERVAL_MS)
         }
     }
 
@@ -88,7 +91,7 @@
                 }
             }
 
-            else -> delay(Tuning.STORE_RETRY_MS * 2)
+            else -> delay(StoreConstants.STORE_RETRY_MS * 2)
         }
     }
 
@@ -103,7 +106,7 @@
         leaderRole.moveTo(Role.FOLLOWING, entry.data["member"] as? String)
         var after = entry.revision
         while (true) {
-            when (val r = store.watch(keys.leader, after, Tuning.LEADER_WATCH_MS, urgent = true)) {
+            when (val r = store.watch(keys.leader, after, LeadershipConstants.LEADER_WATCH_MS, urgent = true)) {
                 is StoreResult.Ok -> {
                     if (r.value.tooOld) return
                     val last = r.value.newest()
@@ -112,25 +115,25 @@
                     if (last != null) leaderRole.moveTo(Role.FOLLOWING, last.data?.get("member") as? String)
                 }
 
-                else -> return delay(Tuning.STORE_RETRY_MS * 2)
+                else -> return delay(StoreConstants.STORE_RETRY_MS * 2)
             }
         }
     }
 
     private suspend fun campaign() {
-        delay(random.nextLong(Tuning.ELECTION_SPREAD_MS))
+        delay(random.nextLong(LeadershipConstants.ELECTION_JITTER_MS))
         if (part != null) {
             // The controller that should lead a share goes first, if it is up.
             delay(part.campaignDelayMs())
             if (!part.activation.ready()) {
-                delay(Tuning.ACTIVATION_RETRY_MS)
+                delay(ShardingConstants.ACTIVATION_RETRY_MS)
                 return leaderRole.moveTo(Role.SEEKING, null)
             }
         }
         val sentAt = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value
         if (lease == null) {
-            delay(Tuning.STORE_RETRY_MS)
+            delay(StoreConstants.STORE_RETRY_MS)
             return leaderRole.moveTo(Role.SEEKING, null)
         }
         val put = KeyWrite.Put(keys.leader, Leader.leaderValue(memberName, nonce), lease)
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -7,7 +7,7 @@
 import mintfield.app.peer.PeerLink
 import mintfield.core.HeartbeatResponse
 import mintfield.core.Timings
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 import mintfield.core.leadership.IsolatedLeaderProbe
 import mintfield.core.leadership.PeerRedirects
 import mintfield.core.leadership.RelayPeerSelector
@@ -102,13 +102,13 @@
         sentAtMs: Long,
     ): Response {
         val alone = settings.peers.none { it.member != leader && !peers.isUnreachable(it.member) }
-        while (alone && loop.nowMs() - sentAtMs < Tuning.PARKED_PATIENCE_MS) {
+        while (alone && loop.nowMs() - sentAtMs < PeerConstants.HELD_HEARTBEAT_TIMEOUT_MS) {
             member.leader?.let { return answer(it, body) }
             val known = member.known
             if (known != null && known != leader && known != settings.member) {
                 return peers.relay(known, body)?.takeIf { it.status != 421 }?.let { Response(it.status, it.body) } ?: break
             }
-            delay(Tuning.PARKED_STEP_MS)
+            delay(PeerConstants.HELD_HEARTBEAT_CHECK_MS)
         }
         return redirectToPeer(leader, body)
     }
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -7,8 +7,9 @@
 import mintfield.core.Commit
 import mintfield.core.CommitResult
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
 import mintfield.core.Write
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.model.FinalState
 import mintfield.core.model.JobPhase
 import mintfield.core.model.StateLimits
@@ -49,29 +50,29 @@
                     ?.shards
                     ?.size ?: 1
             )
-    private val writes = RateLimiter(loop, permittedWrites * Tuning.LEADER_WRITE_SHARE, limits.current.txnOps.toDouble())
+    private val writes = RateLimiter(loop, permittedWrites * StoreConstants.LEADER_WRITE_FRACTION, limits.current.txnOps.toDouble())
     private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
     private var pacedFor = limits.current
     private var yieldUntilMs = 0L
 
     /** Changes of users wait for the store: leaves them room for a while. */
     fun yieldToUsers() {
-        yieldUntilMs = loop.nowMs() + Tuning.YIELD_MS
-        writes.rate = permittedWrites * Tuning.LEADER_WRITE_SHARE_YIELDING
+        yieldUntilMs = loop.nowMs() + StoreConstants.LEADER_YIELD_MS
+        writes.rate = permittedWrites * StoreConstants.LEADER_WRITE_FRACTION_YIELDING
     }
 
     /** The limits may have become lower, by what another part of this node was told as well. */
     private fun keepToLimits() {
         if (pacedFor == limits.current) return
         pacedFor = limits.current
-        writes.limit(permittedWrites * Tuning.LEADER_WRITE_SHARE, pacedFor.txnOps.toDouble())
+        writes.limit(permittedWrites * StoreConstants.LEADER_WRITE_FRACTION, pacedFor.txnOps.toDouble())
     }
 
     private fun writesAvailable(): Double {
         keepToLimits()
         if (yieldUntilMs > 0 && loop.nowMs() > yieldUntilMs) {
             yieldUntilMs = 0
-            writes.rate = permittedWrites * Tuning.LEADER_WRITE_SHARE
+            writes.rate = permittedWrites * StoreConstants.LEADER_WRITE_FRACTION
         }
         return writes.available
     }
@@ -93,7 +94,7 @@
                 val commit = scheduler.nextCommit(loop.nowMs(), System.currentTimeMillis(), ops, yieldUntilMs > 0) ?: break
                 carryOut(commit)
                 afterEach()
-                delay(Tuning.ROUND_MS)
+                delay(PlacementConstants.REPLICA_ROUND_INTERVAL_MS)
             }
             afterEach()
         }
@@ -137,7 +138,7 @@
         for (w in wanted.writes) {
             val writes = writeEncoder.keyWrites(w)
             val size = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + WRITE_OVERHEAD * (writes.size + 2)
-            if (puts.isNotEmpty() && (puts.size + writes.size > inForce.txnOps || bytes + size > Tuning.MAX_TXN_BYTES)) break
+            if (puts.isNotEmpty() && (puts.size + writes.size > inForce.txnOps || bytes + size > StoreConstants.MAX_TXN_BYTES)) break
             writeEncoder.preconditionsOf(w).forEach { preconditions[it.key] = it }
             puts.addAll(writes)
             bytes += size
@@ -155,7 +156,7 @@
             is StoreResult.Refused -> {
                 Log.debug("a commit of ${transaction.puts.size} writes was refused with ${result.status}")
                 if (result.status == TOO_MANY) yieldToUsers()
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
                 CommitResult.Refused
             }
             is StoreResult.Unknown -> {
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -5,7 +5,7 @@
 import mintfield.app.ExternalServices
 import mintfield.core.DirectCall
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.WorkerConstants
 import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
@@ -39,7 +39,7 @@
     private suspend fun send(call: DirectCall) {
         val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
         val body = WorkerCodec.commands(call.term, call.incarnation, call.commands)
-        when (val r = client.call("POST", "/commands", body, Tuning.DIRECT_TIMEOUT_MS)) {
+        when (val r = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
             is Reply.Answer -> {
                 val heartbeat = if (r.status == 200 || r.status == 409) WorkerCodec.heartbeat(r.body) else null
                 if (r.status == 409) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -9,7 +9,11 @@
 import mintfield.app.sharding.ShardLeader
 import mintfield.core.HeartbeatResponse
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PeerConstants
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.jobs.JobListener
 import mintfield.core.leadership.CancellationWatermark
 import mintfield.core.leadership.DirectRouteRecovery
@@ -154,7 +158,7 @@
                 throw e
             } catch (e: RuntimeException) {
                 Log.error("$name failed: $e at ${e.stackTrace.take(6)}")
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
                 deposed("$name failed")
             }
         }
@@ -163,7 +167,7 @@
     private suspend fun renew() {
         while (true) {
             var failed = 0
-            delay(Tuning.LEADER_RENEW_MS)
+            delay(LeadershipConstants.LEASE_RENEWAL_INTERVAL_MS)
             while (true) {
                 val sentAt = loop.nowMs()
                 when (val r = store.renewLease(lease)) {
@@ -171,7 +175,7 @@
                     else -> {
                         // In an outage this comes again and again; once a renewal is enough to see how time runs out.
                         if (++failed % LOG_EVERY == 1) Log.info("the lease was not renewed: $r; ${leaseLeftMs()} ms left")
-                        delay(Tuning.STORE_RETRY_MS)
+                        delay(StoreConstants.STORE_RETRY_MS)
                         continue
                     }
                 }
@@ -213,7 +217,7 @@
                 scheduler.raised(e.revision, loop.nowMs())
             }
 
-            else -> delay(Tuning.STORE_RETRY_MS)
+            else -> delay(StoreConstants.STORE_RETRY_MS)
         }
     }
 
@@ -225,12 +229,12 @@
         relayed: Boolean,
         viaRelayPeer: Boolean,
     ): HeartbeatResponse {
-        val until = loop.nowMs() + Tuning.DISOWN_WAIT_MS
+        val until = loop.nowMs() + FleetConstants.ZONE_FENCE_WAIT_MS
         while (true) {
             val answer = scheduler.heartbeat(heartbeat, mayAct(), loop.nowMs(), relayed, viaRelayPeer, cancellationWatermark.upToMs())
             if (answer != HeartbeatResponse.ZoneFenced || loop.nowMs() > until) return answer
             wake()
-            delay(Tuning.DISOWN_STEP_MS)
+            delay(FleetConstants.ZONE_FENCE_WAIT_STEP_MS)
         }
     }
 
@@ -253,10 +257,10 @@
         while (true) {
             if (mayAct()) scheduler.tick(loop.nowMs())
             if (loop.nowMs() >= nextSummary) {
-                nextSummary = loop.nowMs() + Tuning.SUMMARY_MS
+                nextSummary = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
                 Log.info(scheduler.summary(loop.nowMs()))
             }
-            delay(Tuning.TICK_MS)
+            delay(PlacementConstants.TICK_INTERVAL_MS)
         }
     }
 
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -4,7 +4,9 @@
 import mintfield.app.ExternalServices
 import mintfield.app.replica.JobReplicator
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.jobs.JobListener
 import mintfield.core.model.JobSpec
 import mintfield.io.cloud.CloudResult
@@ -31,7 +33,7 @@
     suspend fun run(listener: JobListener) {
         val startMs = loop.nowMs()
         // Nobody is renewed on a view of the jobs from before the election.
-        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
         // Before anybody is answered: what an earlier leader gave its word on must hold.
         for (e in readAll(keys.zoneFences)) {
             val key = e.key.removePrefix(keys.zoneFences)
@@ -40,17 +42,17 @@
         scheduler.zoneFencing.read = true
         while (services.types.isEmpty()) {
             services.readTypes()
-            if (services.types.isEmpty()) delay(Tuning.CLOUD_RETRY_MS)
+            if (services.types.isEmpty()) delay(FleetConstants.CLOUD_RETRY_MS)
         }
         scheduler.types(services.types.values.toList(), loop.nowMs())
         renewFirst()
-        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
         val intents = readAll(keys.intents)
         val rounds = readAll(keys.rounds).sortedBy { it.revision }
         readMachines()
         val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
         // Abort and accept of other nodes may have come meanwhile; from here on the listener tells them.
-        while (!replicator.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
         val now = loop.nowMs()
         replicator.listeners.add(listener)
         replicator.live.values
@@ -80,18 +82,22 @@
      * most code still runs interpreted then, and after an end of all controllers the leases are half used up.
      */
     private suspend fun renewFirst() {
-        if (loop.nowMs() - loop.startedAtMs > Tuning.WARMED_UP_MS) return
+        if (loop.nowMs() - loop.startedAtMs > LeadershipConstants.WARMED_UP_MS) return
         val from = loop.nowMs()
-        delay(Tuning.RENEWALS_QUIET_MS)
-        while (scheduler.renewing(loop.nowMs()) && loop.nowMs() - from < Tuning.RENEWALS_FIRST_MS) delay(Tuning.RENEWALS_STEP_MS)
+        delay(LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS)
+        while (scheduler.renewing(loop.nowMs()) &&
+            loop.nowMs() - from < LeadershipConstants.MAX_REPLAY_DELAY_MS
+        ) {
+            delay(LeadershipConstants.REPLAY_DELAY_CHECK_MS)
+        }
     }
 
     private suspend fun readAll(prefix: String): List<Entry> {
         val found = ArrayList<Entry>()
         while (true) {
-            val page = (store.list(prefix, found.lastOrNull()?.key, Tuning.PAGE) as? StoreResult.Ok)?.value
+            val page = (store.list(prefix, found.lastOrNull()?.key, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value
             if (page == null) {
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
                 continue
             }
             found.addAll(page.entries)
--- a/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
+++ b/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
@@ -1,7 +1,7 @@
 package mintfield.app.leader
 
-import mintfield.core.Tuning
 import mintfield.core.Write
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.model.FinalState
 import mintfield.core.model.JobPhase
 import mintfield.core.model.StateLimitsInForce
@@ -44,7 +44,7 @@
                             w.learnedState,
                             (
                                 limits.current.valueBytes *
-                                    Tuning.VALUE_FILL
+                                    PlacementConstants.MAX_VALUE_FILL
                             ).toInt(),
                         ),
                     ),
--- a/src/main/kotlin/mintfield/app/peer/PeerLink.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerLink.kt
@@ -14,7 +14,7 @@
 import mintfield.app.api.Progress
 import mintfield.app.election.LeaderElections
 import mintfield.core.ConnectionLimits
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.leadership.Isolation
 import mintfield.core.leadership.PeerFailureDetector
@@ -127,7 +127,7 @@
             scope.launch {
                 while (true) {
                     send(peer, client)
-                    delay(Tuning.PEER_NOTE_MS)
+                    delay(PeerConstants.PEER_STATUS_INTERVAL_MS)
                 }
             }
         }
@@ -143,12 +143,12 @@
         client: HttpClient,
     ) {
         val from = loop.nowMs()
-        val reply = client.call("POST", "/peer", ProtoBuf.encodeToByteArray(PeerStatus.serializer(), note(peer)), Tuning.PEER_TIMEOUT_MS)
+        val reply = client.call("POST", "/peer", ProtoBuf.encodeToByteArray(PeerStatus.serializer(), note(peer)), PeerConstants.PEER_TIMEOUT_MS)
         if (reply is Reply.Answer && reply.status == 200) {
             val answer = decode(PeerStatusResponse.serializer(), reply.body) ?: return
             owner.peerCancelled(peer, CancellationPage(answer.incarnation, answer.from, answer.cancelled, answer.total), from)
         }
-        if (reply is Reply.None && loop.nowMs() - from < Tuning.PEER_TIMEOUT_MS / 2) failureDetector.refused(peer, loop.nowMs())
+        if (reply is Reply.None && loop.nowMs() - from < PeerConstants.PEER_TIMEOUT_MS / 2) failureDetector.refused(peer, loop.nowMs())
     }
 
     private fun note(peer: String): PeerStatus {
@@ -179,7 +179,7 @@
     ): RelayAnswer? {
         val client = clients[leader] ?: return null
         val bytes = ProtoBuf.encodeToByteArray(RelayedReport.serializer(), RelayedReport(settings.member, body))
-        return passOn(leader, client, "/relay", bytes, Tuning.RELAY_TIMEOUT_MS)
+        return passOn(leader, client, "/relay", bytes, PeerConstants.RELAY_TIMEOUT_MS)
     }
 
     /**
@@ -188,7 +188,7 @@
      */
     fun isRelayCongested(leader: String): Boolean {
         val lane = lanes[leader] ?: return false
-        return lane.availablePermits == 0 && leaseRenewedAtMs[leader]?.let { loop.nowMs() - it < Tuning.RELAY_ANSWERED_MS } ?: false
+        return lane.availablePermits == 0 && leaseRenewedAtMs[leader]?.let { loop.nowMs() - it < PeerConstants.RELAY_RESPONSIVE_MS } ?: false
     }
 
     /** Sends [bytes] to [peer] when one of its lanes is free; null without an answer in [timeoutMs], the wait included. */
@@ -215,7 +215,7 @@
         val client = clients[peer] ?: return null
         val relayed = RelayedRequest(request.first, request.second, request.body)
         val bytes = ProtoBuf.encodeToByteArray(RelayedRequest.serializer(), relayed)
-        val answer = passOn(peer, client, "/user", bytes, Tuning.PEER_TIMEOUT_MS) ?: return null
+        val answer = passOn(peer, client, "/user", bytes, PeerConstants.PEER_TIMEOUT_MS) ?: return null
         return Response(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
     }
 
@@ -224,7 +224,7 @@
         peer: String,
         body: ByteArray,
     ): ByteArray? {
-        val reply = clients[peer]?.call("POST", FOREIGN_TASKS, body, Tuning.PEER_TIMEOUT_MS)
+        val reply = clients[peer]?.call("POST", FOREIGN_TASKS, body, PeerConstants.PEER_TIMEOUT_MS)
         return (reply as? Reply.Answer)?.takeIf { it.status == 200 }?.body
     }
 
--- a/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -1,7 +1,7 @@
 package mintfield.app.peer
 
 import mintfield.app.api.Progress
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 import mintfield.io.peer.JobProgress
 
 /**
@@ -9,7 +9,7 @@
  * ended, so that every job is told of in turn.
  */
 class ProgressPager(
-    private val perNote: Int = Tuning.PROGRESS_PER_NOTE,
+    private val perNote: Int = PeerConstants.PROGRESS_PER_STATUS,
 ) {
     private var position = 0
 
@@ -49,7 +49,7 @@
             jobs[job.id] = Observed(Progress(job.done, job.running), nowMs)
         }
         val oldest = jobs.values.iterator()
-        while (oldest.hasNext() && nowMs - oldest.next().atMs > Tuning.PROGRESS_KEPT_MS) oldest.remove()
+        while (oldest.hasNext() && nowMs - oldest.next().atMs > PeerConstants.PROGRESS_TIMEOUT_MS) oldest.remove()
     }
 
     operator fun get(id: String): Progress? = jobs[id]?.progress
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -6,7 +6,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
-import mintfield.core.Tuning
+import mintfield.core.constants.StoreConstants
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.dependencies.DependencyGraph
 import mintfield.core.jobs.JobChange
 import mintfield.core.jobs.JobListener
@@ -87,7 +88,7 @@
             checking = true
             scope.launch { checkWhileWanted() }
         }
-        return withTimeoutOrNull(Tuning.POLL_PATIENCE_MS) { answer.await() } ?: false
+        return withTimeoutOrNull(UserApiConstants.QUERY_TIMEOUT_MS) { answer.await() } ?: false
     }
 
     private suspend fun checkWhileWanted() {
@@ -126,10 +127,10 @@
     suspend fun follow() {
         while (true) {
             if (!loaded && !load()) {
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
                 continue
             }
-            if (catchUp(Tuning.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_ANSWER) delay(Tuning.STORE_RETRY_MS)
+            if (catchUp(StoreConstants.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_ANSWER) delay(StoreConstants.STORE_RETRY_MS)
         }
     }
 
@@ -157,7 +158,7 @@
         replica.beginSnapshot().use { snapshot ->
             var after: String? = null
             do {
-                val page = (store.list(Keys.LIVE, after, Tuning.PAGE) as? StoreResult.Ok)?.value ?: return false
+                val page = (store.list(Keys.LIVE, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
                 snapshot.page(page.revision, records(page))
                 after = page.entries.lastOrNull()?.key
             } while (page.hasNext && after != null)
@@ -192,7 +193,7 @@
         scope.launch {
             try {
                 while (dependencies.unresolved.isNotEmpty()) {
-                    if (!resolve(dependencies.unresolved.first())) delay(Tuning.STORE_RETRY_MS)
+                    if (!resolve(dependencies.unresolved.first())) delay(StoreConstants.STORE_RETRY_MS)
                 }
             } finally {
                 resolving = false
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -1,7 +1,8 @@
 package mintfield.app.sharding
 
 import kotlinx.coroutines.delay
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.ownership.AssignmentBlock
 import mintfield.core.ownership.AssignmentTable
 import mintfield.core.ownership.DrainRecord
@@ -28,7 +29,7 @@
 
     /** Follows changes as they come, until cancelled. */
     suspend fun follow() {
-        while (true) if (!catchUp(Tuning.JOBS_WATCH_MS)) delay(Tuning.STORE_RETRY_MS)
+        while (true) if (!catchUp(StoreConstants.JOBS_WATCH_MS)) delay(StoreConstants.STORE_RETRY_MS)
     }
 
     /** Shows all that had happened when this was called; false if the store cannot be asked. */
@@ -47,7 +48,7 @@
         var after: String? = null
         var readAt = 0L
         do {
-            val page = (store.list(Keys.ASSIGNMENTS, after, Tuning.PAGE) as? StoreResult.Ok)?.value ?: return false
+            val page = (store.list(Keys.ASSIGNMENTS, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
             if (readAt == 0L) readAt = page.revision
             page.entries.forEach { apply(it.key, it.data, it.revision) }
             after = page.entries.lastOrNull()?.key
@@ -63,7 +64,7 @@
     ) {
         if (key == Keys.DRAINED) return applyDrained(data, revision)
         val number = key.removePrefix(Keys.ASSIGNMENTS).toIntOrNull()
-        if (number == null || number !in 0 until Tuning.ASSIGNMENT_BLOCKS) return Log.error("$key: not a block of assignments; it is left alone")
+        if (number == null || number !in 0 until ShardingConstants.ASSIGNMENT_BLOCKS) return Log.error("$key: not a block of assignments; it is left alone")
         // Nobody deletes a block: one that is gone says nothing of its machines, least of all that they are gone.
         val assignments = data?.let(AssignmentCodec::parse)
         if (assignments == null) Log.error("$key: the assignments of revision $revision cannot be read; they are kept, and their machines left alone")
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -3,7 +3,8 @@
 import kotlinx.coroutines.delay
 import mintfield.app.leader.Leader
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.ownership.AssignmentTransaction
 import mintfield.core.ownership.ForeignTaskAnswer
 import mintfield.core.ownership.ForeignTaskQuery
@@ -72,14 +73,14 @@
 
     /** Reads the assignments as they are now or later: a new leader acts by nothing older than its election. */
     suspend fun readAssignments() {
-        while (!node.assignments.current()) delay(Tuning.STORE_RETRY_MS)
+        while (!node.assignments.current()) delay(StoreConstants.STORE_RETRY_MS)
     }
 
     /** Changes assignments as long as [leader] leads. */
     suspend fun changeAssignments(leader: Leader) {
         while (true) {
             val transaction = if (leader.mayAct()) agent.next(loop.nowMs()) else null
-            if (transaction == null) delay(Tuning.ASSIGNMENT_STEP_MS) else carryOut(leader, transaction)
+            if (transaction == null) delay(ShardingConstants.ASSIGNMENT_INTERVAL_MS) else carryOut(leader, transaction)
         }
     }
 
@@ -96,7 +97,7 @@
             }
             is StoreResult.Refused -> {
                 agent.refused(transaction)
-                delay(Tuning.STORE_RETRY_MS)
+                delay(StoreConstants.STORE_RETRY_MS)
             }
             is StoreResult.Ok -> settled(leader, transaction, result.value)
         }
@@ -127,7 +128,7 @@
     /** Asks what becomes of this leader's tasks on other shares' machines, as long as [leader] leads. */
     suspend fun followRemoteTasks(leader: Leader) {
         while (true) {
-            delay(Tuning.ASSIGNMENT_STEP_MS)
+            delay(ShardingConstants.ASSIGNMENT_INTERVAL_MS)
             if (!leader.mayAct()) continue
             val byOwner = remoteTasks.due(loop.nowMs()).groupBy { node.shardFor(it.machine) }
             for ((owner, queries) in byOwner) if (owner != null) queries.chunked(QUERIES_AT_ONCE).forEach { ask(owner, it) }
--- a/src/main/kotlin/mintfield/app/sharding/ShardingContext.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardingContext.kt
@@ -1,6 +1,6 @@
 package mintfield.app.sharding
 
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 import mintfield.core.model.JobSpec
 import mintfield.core.ownership.Assignment
 import mintfield.core.ownership.MoveTracer
@@ -68,7 +68,7 @@
     }
 
     override fun load(shard: String): ShardLoad? {
-        val last = observedLoads[shard]?.takeIf { nowMs() - it.atMs < Tuning.LOAD_FRESH_MS }?.load ?: return null
+        val last = observedLoads[shard]?.takeIf { nowMs() - it.atMs < ShardingConstants.LOAD_TIMEOUT_MS }?.load ?: return null
         // One that may have no more machines is not short of any.
         return if (table.count(shard) < (settings.shard(shard)?.ceiling ?: 0)) last else last.copy(shortCpus = 0.0, shortOf = emptySet())
     }
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -1,7 +1,8 @@
 package mintfield.app.upgrade
 
 import kotlinx.coroutines.delay
-import mintfield.core.Tuning
+import mintfield.core.constants.StoreConstants
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.model.Settings
 import mintfield.core.upgrade.ControllerVersions
 import mintfield.core.upgrade.Generation
@@ -36,7 +37,7 @@
 
     /** Records the generation of this program, unless that has been done; tries until it has succeeded. */
     suspend fun record() {
-        while (!recordOnce()) delay(Tuning.VERSION_RETRY_MS)
+        while (!recordOnce()) delay(UserApiConstants.VERSION_RETRY_MS)
     }
 
     private suspend fun recordOnce(): Boolean {
@@ -52,7 +53,7 @@
     /** Whether all controllers run [generation] or a later one. */
     suspend fun allHave(generation: Int): Boolean {
         if (versions.lacking(generation).isEmpty()) return true
-        if (loop.nowMs() - readAtMs >= Tuning.VERSION_RETRY_MS) read()
+        if (loop.nowMs() - readAtMs >= UserApiConstants.VERSION_RETRY_MS) read()
         val lacking = versions.lacking(generation)
         if (lacking.isNotEmpty()) Log.info("not known to run generation $generation: $lacking")
         return lacking.isEmpty()
@@ -60,7 +61,7 @@
 
     private suspend fun read() {
         readAtMs = loop.nowMs()
-        val page = (store.list(Keys.VERSIONS, null, Tuning.PAGE) as? StoreResult.Ok)?.value ?: return
+        val page = (store.list(Keys.VERSIONS, null, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return
         for (entry in page.entries) {
             val generation = entry.data.long(Records.GENERATION) ?: continue
             versions.recorded(entry.key.removePrefix(Keys.VERSIONS), generation.toInt())
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -1,5 +1,7 @@
 package mintfield.core
 
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Attempt
@@ -75,7 +77,7 @@
      * something is planned with it, which costs a write and so a revision: the numbers of a term, which starts at its
      * revision times a constant, can then never reach those of the next.
      */
-    fun attemptNumber(): Long = maxOf(attemptNumber + 1, term * Tuning.ATTEMPTS_PER_TERM)
+    fun attemptNumber(): Long = maxOf(attemptNumber + 1, term * LeadershipConstants.ATTEMPTS_PER_TERM)
 
     fun attemptUsed(number: Long) {
         attemptNumber = number
@@ -99,7 +101,7 @@
     /** Tasks that one round may place: a large fleet must not be filled at the pace of a small one. */
     fun roundTasks(): Int {
         val cpus = machines.values.sumOf { if (it.state == MachineState.UP) it.type.cpus else 0.0 }
-        return maxOf(Tuning.ROUND_TASKS, (cpus * Tuning.ROUND_TASKS_PER_CPU).toInt())
+        return maxOf(PlacementConstants.MIN_ROUND_TASKS, (cpus * PlacementConstants.ROUND_TASKS_PER_CPU).toInt())
     }
 
     fun occupy(
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -1,5 +1,7 @@
 package mintfield.core
 
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.dependencies.InheritedUrgency
 import mintfield.core.fleet.FleetManager
 import mintfield.core.fleet.Machine
@@ -61,18 +63,24 @@
         ops: Int,
         yielding: Boolean,
     ): Commit? {
-        if (raiseNow || (cluster.raiseWanted && nowMs - lastRaiseMs >= Tuning.RAISE_TERM_GAP_MS)) {
+        if (raiseNow || (cluster.raiseWanted && nowMs - lastRaiseMs >= LeadershipConstants.MIN_TERM_RAISE_INTERVAL_MS)) {
             return Commit(cluster.term, listOf(Write.RaiseTerm))
         }
         zoneFencing.look(nowMs, wallMs)
-        val scarce = ops < cluster.limits.txnOps * Tuning.PLENTY_SHARE
+        val scarce = ops < cluster.limits.txnOps * PlacementConstants.PLENTIFUL_WRITES_FRACTION
         place(nowMs, wallMs, scarce)
         val batch = Batch(ops)
         addZoneFences(batch)
         addCancelledSuccessors(batch)
         addFinished(batch)
         planJournal.refresh(nowMs)
-        batch.left -= planJournal.add(batch.writes, batch.left, if (scarce) Tuning.DONE_BATCH_BUSY_MS else Tuning.DONE_BATCH_MS, nowMs)
+        batch.left -=
+            planJournal.add(
+                batch.writes,
+                batch.left,
+                if (scarce) PlacementConstants.DONE_BATCH_DELAY_SCARCE_WRITES_MS else PlacementConstants.DONE_BATCH_DELAY_MS,
+                nowMs,
+            )
         addScaleOutIntents(batch)
         // While users wait for their writes, what is left of ended jobs may wait for them.
         if (!yielding || planJournal.obsoleteRounds.size >= MAX_OBSOLETE_ROUNDS) addGarbageCollection(batch, nowMs)
@@ -129,7 +137,9 @@
         scarce: Boolean,
     ) {
         val most = cluster.roundTasks()
-        if (cluster.roundWanted || nowMs - lastRoundMs >= if (scarce) Tuning.ARRAY_ROUND_BUSY_MS else Tuning.ARRAY_ROUND_MS) {
+        if (cluster.roundWanted ||
+            nowMs - lastRoundMs >= if (scarce) PlacementConstants.ROUND_INTERVAL_SCARCE_WRITES_MS else PlacementConstants.ROUND_INTERVAL_MS
+        ) {
             lastRoundMs = nowMs
             lastReplicaRoundMs = nowMs
             cluster.roundWanted = false
@@ -138,10 +148,10 @@
             round.run(nowMs, wallMs, most)
             return
         }
-        if (nowMs - lastReplicaRoundMs < Tuning.ROUND_MS) return
+        if (nowMs - lastReplicaRoundMs < PlacementConstants.REPLICA_ROUND_INTERVAL_MS) return
         if (cluster.jobs.values.none { it.spec.shape == Shape.SERVICE && !it.cancelled && nowMs >= it.notBeforeMs && it.schedulableTasks > 0 }) return
         // What finds no room now will hardly find any before the next round of all.
-        lastReplicaRoundMs = if (round.run(nowMs, wallMs, most, replicasOnly = true) > 0) nowMs else nowMs + Tuning.ARRAY_ROUND_MS
+        lastReplicaRoundMs = if (round.run(nowMs, wallMs, most, replicasOnly = true) > 0) nowMs else nowMs + PlacementConstants.ROUND_INTERVAL_MS
     }
 
     /** What became of [commit]. */
--- a/src/main/kotlin/mintfield/core/ConnectionLimits.kt
+++ b/src/main/kotlin/mintfield/core/ConnectionLimits.kt
@@ -1,5 +1,8 @@
 package mintfield.core
 
+import mintfield.core.constants.HttpConstants
+import mintfield.core.constants.PeerConstants
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.model.Settings
 
 /** How many connections of each kind a controller keeps or opens at once, worked out from the sockets it may have. */
@@ -7,23 +10,23 @@
     settings: Settings,
 ) {
     /** Connections of users and workers. */
-    val incoming: Int = (settings.maxSockets * Tuning.INCOMING_SOCKET_SHARE).toInt()
+    val incoming: Int = (settings.maxSockets * HttpConstants.INCOMING_SOCKET_FRACTION).toInt()
 
     /** Connections of users and workers from which on a worker's is closed after each answer. */
-    val shortConnectionsFrom: Int = (incoming * Tuning.SHORT_CONNECTIONS_SHARE).toInt()
+    val shortConnectionsFrom: Int = (incoming * HttpConstants.KEEP_ALIVE_FRACTION).toInt()
 
     /** Kept connections to workers. */
-    val keptToWorkers: Int = (settings.maxSockets * Tuning.WORKER_SOCKET_SHARE).toInt()
+    val keptToWorkers: Int = (settings.maxSockets * WorkerConstants.WORKER_POOL_SOCKET_FRACTION).toInt()
 
     /** Direct commands under way. */
-    val directCalls: Int = maxOf(Tuning.LEAST_DIRECT_CALLS, (settings.maxSockets * Tuning.DIRECT_SOCKET_SHARE).toInt())
+    val directCalls: Int = maxOf(WorkerConstants.MIN_DIRECT_COMMANDS, (settings.maxSockets * WorkerConstants.DIRECT_COMMAND_SOCKET_FRACTION).toInt())
 
     /** Reports and requests on their way to one peer. */
-    val relayLanes: Int = maxOf(Tuning.RELAY_LANES, (settings.maxSockets * Tuning.RELAY_LANES_PER_SOCKET).toInt())
+    val relayLanes: Int = maxOf(PeerConstants.MIN_CONCURRENT_RELAYS, (settings.maxSockets * PeerConstants.CONCURRENT_RELAYS_PER_SOCKET).toInt())
 
     /** Connections of peers. */
     val fromPeers: Int =
-        maxOf(Tuning.PEER_CONNECTIONS, settings.peers.size * (relayLanes + Tuning.PEER_SPARE_CONNECTIONS))
+        maxOf(PeerConstants.MIN_PEER_CONNECTIONS, settings.peers.size * (relayLanes + PeerConstants.PEER_SPARE_CONNECTIONS))
 
     /** Machines whose workers can keep their connection here, besides [otherConnections]; more report over short ones. */
     fun machinesKept(otherConnections: Int): Int = maxOf(0, shortConnectionsFrom - otherConnections)
--- a/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
+++ b/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
@@ -1,5 +1,6 @@
 package mintfield.core
 
+import mintfield.core.constants.MemoryConstants
 import mintfield.core.model.Settings
 
 /**
@@ -27,7 +28,7 @@
         machines: Int,
         heapBytes: Long,
     ): String? {
-        val needed = Tuning.HEAP_BASE_BYTES + machines * Tuning.HEAP_BYTES_PER_MACHINE
+        val needed = MemoryConstants.HEAP_BASE_BYTES + machines * MemoryConstants.HEAP_BYTES_PER_MACHINE
         if (heapBytes >= needed) return null
         return "the heap of ${heapBytes / MIB} MB is small for $machines machines: run with -Xmx${needed / MIB + 1}m"
     }
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -1,5 +1,6 @@
 package mintfield.core
 
+import mintfield.core.constants.StoreConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.JobHealth
 
@@ -25,7 +26,7 @@
         return Write.SaveLearnedState(next, blocks[next]).also { next++ }
     }
 
-    private fun pauseMs(): Long = maxOf(Tuning.HINTS_LEAST_MS, Tuning.HINTS_MS / maxOf(1, blocks.size))
+    private fun pauseMs(): Long = maxOf(StoreConstants.MIN_LEARNED_STATE_INTERVAL_MS, StoreConstants.LEARNED_STATE_INTERVAL_MS / maxOf(1, blocks.size))
 
     private fun learned(): LearnedState {
         val sizes = HashMap<String, Double>()
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -1,5 +1,7 @@
 package mintfield.core
 
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.LeadershipConstants
 import mintfield.core.dependencies.DependencyGraph
 import mintfield.core.dependencies.InheritedUrgency
 import mintfield.core.fleet.FleetManager
@@ -87,7 +89,7 @@
     // ---- replay ----
 
     /** Whether workers still come for the first time since the election, whose leases must not run out for the replay's sake. */
-    fun renewing(nowMs: Long) = nowMs - lastRenewedMs < Tuning.RENEWALS_QUIET_MS
+    fun renewing(nowMs: Long) = nowMs - lastRenewedMs < LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS
 
     fun types(
         types: List<MachineType>,
@@ -111,7 +113,7 @@
      * have reported or lost their leases; nothing is planned before.
      */
     fun replayUnreadableRound(nowMs: Long) {
-        cluster.holdUntilMs = nowMs + cluster.timings.leaseExpiryMs + Tuning.SILENT_RETURN_SLACK_MS
+        cluster.holdUntilMs = nowMs + cluster.timings.leaseExpiryMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS
     }
 
     /** What cannot be read may plan anything anywhere: the job keeps what it has, and gets nothing new. */
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -1,5 +1,10 @@
 package mintfield.core
 
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PeerConstants
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.model.Settings
 
 /**
@@ -12,33 +17,33 @@
     private val leaseMs = settings.leaseS * MS
 
     /** The longest that an honest worker takes from one heartbeat to the next. */
-    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * MS * Tuning.REPORT_SPREAD
+    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * MS * WorkerConstants.HEARTBEAT_SPREAD
 
     /** Without a heartbeat for so long a machine gets no new tasks: longer than an honest interval with a heartbeat lost. */
-    val heartbeatTimeoutMs = maxOf(Tuning.FRESH_REPORT_MS, (longestHeartbeatGapMs + Tuning.FRESH_SLACK_MS).toLong())
+    val heartbeatTimeoutMs = maxOf(WorkerConstants.MIN_HEARTBEAT_TIMEOUT_MS, (longestHeartbeatGapMs + WorkerConstants.HEARTBEAT_TIMEOUT_SLACK_MS).toLong())
 
     /** A worker heard directly within this time is told to come directly again; others may be relayed. */
-    val relayAfterMs = maxOf(Tuning.RELAY_AFTER_MS, (longestHeartbeatGapMs + Tuning.RELAY_SLACK_MS).toLong())
+    val relayAfterMs = maxOf(PeerConstants.MIN_DIRECT_ROUTE_FRESH_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
     /** After a failover tasks wait this long for machines that hold their image: until an honest one has reported. */
-    val settleMs = maxOf(Tuning.SETTLE_MS, (longestHeartbeatGapMs + Tuning.RELAY_SLACK_MS).toLong())
+    val settleMs = maxOf(PlacementConstants.MIN_SETTLE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
     /** A machine that a replayed plan names and that has not reported is returned after this: its lease has ended, or it
      *  has had that long to find the leader. */
-    val replayedReleaseMs = (leaseMs + Tuning.FIND_LEADER_MS).toLong()
+    val replayedReleaseMs = (leaseMs + FleetConstants.FIND_LEADER_MS).toLong()
 
     /** The same for a machine that the list does not have either. */
-    val unlistedReleaseMs = maxOf(Tuning.UNLISTED_RETURN_MS, (longestHeartbeatGapMs + Tuning.UNLISTED_SLACK_MS).toLong())
+    val unlistedReleaseMs = maxOf(FleetConstants.UNLISTED_RELEASE_MS, (longestHeartbeatGapMs + FleetConstants.UNLISTED_RELEASE_SLACK_MS).toLong())
 
     /** Silence after which a machine is returned: most that hang come back within their lease or soon after it. */
-    val unresponsiveReleaseMs = settings.operator.unresponsiveReleaseMs ?: (leaseMs + Tuning.SILENT_RETURN_SLACK_MS).toLong()
+    val unresponsiveReleaseMs = settings.operator.unresponsiveReleaseMs ?: (leaseMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS).toLong()
 
     /** Time between two times that an isolated leader sends the same worker away: a round of the controllers uses up
      *  a third to a half of its lease, and what it learns holds for a while. */
-    val redirectIntervalMs = (leaseMs * Tuning.SEND_ON_LEASES).toLong()
+    val redirectIntervalMs = (leaseMs * PeerConstants.REDIRECT_INTERVAL_LEASES).toLong()
 
     /** Silence after which a worker's lease has certainly ended. */
-    val leaseExpiryMs = (leaseMs * (1 + Tuning.CLOCK_DRIFT)).toLong() + Tuning.WORKER_LEASE_MARGIN_MS
+    val leaseExpiryMs = (leaseMs * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() + WorkerConstants.WORKER_LEASE_MARGIN_MS
 
     private companion object {
         const val MS = 1000.0
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -1,7 +1,7 @@
 package mintfield.core.dependencies
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.UserApiConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.Job
 import mintfield.core.model.Priority
@@ -33,7 +33,7 @@
         nowMs: Long,
         wallMs: Long,
     ) {
-        if (seenVersion == dependencies.version && nowMs - refreshedAtMs < Tuning.INHERITANCE_MS) return
+        if (seenVersion == dependencies.version && nowMs - refreshedAtMs < UserApiConstants.INHERITANCE_REFRESH_MS) return
         seenVersion = dependencies.version
         refreshedAtMs = nowMs
         changed.forEach(::reset)
@@ -67,7 +67,7 @@
         val dueMs = job.inheritedDueMs ?: return false
         if (node.job == null) return false
         val endsMs = wallMs + durationMs(node)
-        return endsMs + Tuning.STAGE_PRESSING_MS > dueMs && endsMs < dueMs + Tuning.STAGE_PRESSING_MS
+        return endsMs + UserApiConstants.PIPELINE_CRITICAL_WINDOW_MS > dueMs && endsMs < dueMs + UserApiConstants.PIPELINE_CRITICAL_WINDOW_MS
     }
 
     private fun inherit(
@@ -97,7 +97,7 @@
         val runS = cluster.jobs[node.id]?.let { cluster.runTimes.expectedS(it) } ?: accepted.spec.estimateS
         val fetchGbPerS = accepted.compatibleTypes.mapNotNull { cluster.types[it]?.fetchGbPerS }.minOrNull() ?: 0.0
         val fetchS = if (fetchGbPerS > 0) accepted.spec.imageGb / fetchGbPerS else 0.0
-        return (runS * Tuning.STAGE_RUN + fetchS) * MS_PER_S + Tuning.STAGE_START_MS
+        return (runS * UserApiConstants.PIPELINE_RUN_FACTOR + fetchS) * MS_PER_S + UserApiConstants.PIPELINE_START_MS
     }
 
     /** The nodes of the graph, each after all of its successors. */
--- a/src/main/kotlin/mintfield/core/fleet/BootTimes.kt
+++ b/src/main/kotlin/mintfield/core/fleet/BootTimes.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 import mintfield.core.model.MachineType
 
 /**
@@ -32,8 +32,9 @@
         zone: String,
         nowMs: Long,
     ): Long {
-        val lately = seen[type.name to zone]?.filter { nowMs - it.atMs < Tuning.BOOTS_REMEMBERED_MS }?.maxOfOrNull { it.times } ?: 0.0
-        return (type.bootS * MS * maxOf(Tuning.LATE_TIMES, lately * SLACK).coerceAtMost(Tuning.BOOT_PATIENCE)).toLong() + Tuning.LATE_SLACK_MS
+        val lately = seen[type.name to zone]?.filter { nowMs - it.atMs < FleetConstants.BOOT_TIMES_KEPT_MS }?.maxOfOrNull { it.times } ?: 0.0
+        return (type.bootS * MS * maxOf(FleetConstants.OVERDUE_BOOT_FACTOR, lately * SLACK).coerceAtMost(FleetConstants.BOOT_TIMEOUT_FACTOR)).toLong() +
+            FleetConstants.OVERDUE_BOOT_SLACK_MS
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
@@ -3,7 +3,7 @@
 import mintfield.core.CloudCall
 import mintfield.core.Cluster
 import mintfield.core.ScaleOutIntent
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 import mintfield.core.jobs.AttemptState
 import mintfield.core.model.MachineType
 
@@ -191,8 +191,8 @@
         }
         if (!listedOnce) return CloudCall.ListPage(listAfter)
         intents.values.firstOrNull()?.let { return CloudCall.Provision(it) }
-        if (listing || nowMs - lastListMs >= Tuning.LIST_MS) return CloudCall.ListPage(listAfter)
-        if (nowMs - lastTypesMs >= Tuning.TYPES_MS) return CloudCall.Types
+        if (listing || nowMs - lastListMs >= FleetConstants.LIST_INTERVAL_MS) return CloudCall.ListPage(listAfter)
+        if (nowMs - lastTypesMs >= FleetConstants.CATALOGUE_INTERVAL_MS) return CloudCall.Types
         return null
     }
 
@@ -200,7 +200,7 @@
         call: CloudCall,
         nowMs: Long,
     ) {
-        pausedUntilMs = nowMs + Tuning.CLOUD_RETRY_MS
+        pausedUntilMs = nowMs + FleetConstants.CLOUD_RETRY_MS
         if (call is CloudCall.Release) {
             call.machines.forEach { cluster.machines[it]?.takeIf { m -> m.state == MachineState.TERMINATING }?.moveTo(MachineState.RELEASING, nowMs) }
         }
@@ -256,7 +256,7 @@
     }
 
     /** Milliseconds after which a list must show what there is, at the latest. */
-    fun listLagMs(): Long = (cluster.settings.listLagS * 1000 * Tuning.LIST_LAG_TIMES).toLong() + Tuning.LIST_MS
+    fun listLagMs(): Long = (cluster.settings.listLagS * 1000 * FleetConstants.LIST_LAG_FACTOR).toLong() + FleetConstants.LIST_INTERVAL_MS
 
     fun provisioned(
         intent: ScaleOutIntent,
--- a/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.Cluster
 import mintfield.core.ScaleOutIntent
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 import mintfield.core.jobs.Job
 import mintfield.core.model.MachineType
 import mintfield.core.model.Shape
@@ -39,7 +39,7 @@
     ) {
         val type = cluster.types[intent.type] ?: return
         val offer = Offer(type, intent.zone, intent.spot)
-        val pause = (refusalPause[offer]?.times(2) ?: Tuning.NO_CAPACITY_MS).coerceAtMost(Tuning.NO_CAPACITY_MAX_MS)
+        val pause = (refusalPause[offer]?.times(2) ?: FleetConstants.NO_CAPACITY_BACKOFF_MS).coerceAtMost(FleetConstants.MAX_NO_CAPACITY_BACKOFF_MS)
         refusalPause[offer] = pause
         refusedUntil[offer] = nowMs + pause
     }
@@ -77,7 +77,7 @@
             if (m.spot) spot += m.type.cpus else ordinary += m.type.cpus
         }
         // Of late machines a part is hoped for all the same, or trouble of the cloud would have us rent without end.
-        ordinary += maxOf(0.0, overdue - (ordinary + spot) * Tuning.LATE_SHARE)
+        ordinary += maxOf(0.0, overdue - (ordinary + spot) * FleetConstants.OVERDUE_REPLACEMENT_FRACTION)
         val mayScaleOut = cluster.ownership.scaleOutHeadroom > 0
         if (mayScaleOut && unplaceableJob()?.let { requestScaleOutFor(it, nowMs) } == true) return
         val ordinaryShort = services * cluster.settings.operator.headroom - ordinary
@@ -139,9 +139,9 @@
 
     private fun scaleOutBatch() =
         maxOf(
-            Tuning.RENT_AT_ONCE,
-            (cluster.machines.size * Tuning.RENT_SHARE).toInt(),
-        ).coerceAtMost(minOf(Tuning.RENT_AT_MOST, cluster.ownership.scaleOutHeadroom))
+            FleetConstants.MIN_SCALE_OUT_BATCH,
+            (cluster.machines.size * FleetConstants.SCALE_OUT_BATCH_FRACTION).toInt(),
+        ).coerceAtMost(minOf(FleetConstants.MAX_SCALE_OUT_BATCH, cluster.ownership.scaleOutHeadroom))
 
     private fun choose(
         nowMs: Long,
@@ -174,7 +174,7 @@
                 continue
             }
             val since = idleSince.getOrPut(m.id) { nowMs }
-            val patience = if (cluster.jobs.isEmpty()) Tuning.EMPTY_RETURN_MS else cluster.settings.operator.idleReleaseMs
+            val patience = if (cluster.jobs.isEmpty()) FleetConstants.IDLE_RELEASE_WITHOUT_JOBS_MS else cluster.settings.operator.idleReleaseMs
             if (nowMs - since > patience) {
                 idleSince.remove(m.id)
                 return scheduleRelease(m, nowMs, "idle and not needed")
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -1,7 +1,9 @@
 package mintfield.core.fleet
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.jobs.AttemptState
 
 /** Looks at the clock for each machine: silence, leases that have certainly ended, machines that never come up or fail what they get. */
@@ -24,17 +26,28 @@
         }
         val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
         // Many at once speak of the network, not of the machines.
-        val releaseUnreachable = unreachable <= maxOf(Tuning.DEAF_FEW, (cluster.machines.size * Tuning.DEAF_SHARE).toInt())
+        val releaseUnreachable =
+            unreachable <= maxOf(WorkerConstants.MAX_BLAMED_UNREACHABLE, (cluster.machines.size * WorkerConstants.MAX_BLAMED_UNREACHABLE_FRACTION).toInt())
         for (m in cluster.machines.values.toList()) {
             if (m.state == MachineState.UP) watchReachability(m, releaseUnreachable, nowMs)
             when (m.state) {
-                MachineState.PROVISIONING -> pendingPredecessors(m, nowMs, (unresponsiveByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
+                MachineState.PROVISIONING ->
+                    pendingPredecessors(
+                        m,
+                        nowMs,
+                        (unresponsiveByZone[m.zone] ?: 0) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * (byZone[m.zone] ?: 1),
+                    )
                 MachineState.UP -> if (nowMs - m.lastContactAtMs > cluster.timings.heartbeatTimeoutMs) m.moveTo(MachineState.UNRESPONSIVE, nowMs)
-                MachineState.UNRESPONSIVE -> silent(m, nowMs, (unresponsiveByZone[m.zone] ?: 0) > Tuning.SILENT_ZONE_SHARE * (byZone[m.zone] ?: 1))
+                MachineState.UNRESPONSIVE ->
+                    silent(
+                        m,
+                        nowMs,
+                        (unresponsiveByZone[m.zone] ?: 0) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * (byZone[m.zone] ?: 1),
+                    )
                 else -> {}
             }
             expire(m, nowMs)
-            val faulty = m.attributedFailures >= Tuning.SICK_FAILURES || m.suspectJobs.size >= Tuning.SICK_SUSPECTS
+            val faulty = m.attributedFailures >= PlacementConstants.QUARANTINE_FAILURES || m.suspectJobs.size >= PlacementConstants.RELEASE_SUSPECT_JOBS
             if (m.state == MachineState.UP && faulty) {
                 scheduleRelease(m, nowMs, "its tasks fail")
             }
@@ -48,10 +61,10 @@
         nowMs: Long,
     ) {
         if (!releaseUnreachable) return
-        if (m.reachability.state == ReachabilityState.UNREACHABLE && nowMs - m.reachability.sinceMs > Tuning.DEAF_RETURN_MS) {
+        if (m.reachability.state == ReachabilityState.UNREACHABLE && nowMs - m.reachability.sinceMs > WorkerConstants.UNREACHABLE_RELEASE_MS) {
             return scheduleRelease(m, nowMs, "unreachable for ${(nowMs - m.reachability.sinceMs) / 1000} s")
         }
-        val limit = cluster.settings.cancelS * 1000 * Tuning.CANCEL_SHARE
+        val limit = cluster.settings.cancelS * 1000 * WorkerConstants.CANCEL_RELEASE_FRACTION
         m.foreignTasks.notStopped(nowMs - limit.toLong())?.let { return scheduleRelease(m, nowMs, "${it.status.task} of another shard does not stop there") }
         if (m.count(AttemptState.STOPPING) == 0) return
         m.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limit }?.let {
@@ -69,15 +82,15 @@
             val limit =
                 when {
                     m.provisional && m.attempts.isNotEmpty() -> cluster.timings.unlistedReleaseMs
-                    zoneUnresponsive -> Tuning.SILENT_ZONE_RETURN_MS
+                    zoneUnresponsive -> FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS
                     m.adoptedAtMs != Machine.NEVER -> maxOf(cluster.timings.replayedReleaseMs, listLagMs())
                     else -> cluster.timings.replayedReleaseMs
                 }
             if (nowMs - maxOf(m.firstSeenAtMs, startedAtMs) > limit) scheduleRelease(m, nowMs, "in use, but no heartbeat has reached this leader")
             return
         }
-        val patience = m.type.bootS * 1000 * Tuning.BOOT_PATIENCE + Tuning.BOOT_PATIENCE_MS
-        if (nowMs - m.firstSeenAtMs > patience && nowMs - startedAtMs > Tuning.BOOT_PATIENCE_MS) scheduleRelease(m, nowMs, "never came up")
+        val patience = m.type.bootS * 1000 * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_MS
+        if (nowMs - m.firstSeenAtMs > patience && nowMs - startedAtMs > FleetConstants.BOOT_TIMEOUT_SLACK_MS) scheduleRelease(m, nowMs, "never came up")
     }
 
     private fun silent(
@@ -86,7 +99,7 @@
         zoneUnresponsive: Boolean,
     ) {
         val taken = m.terminationAtMs
-        val limit = if (zoneUnresponsive) Tuning.SILENT_ZONE_RETURN_MS else cluster.timings.unresponsiveReleaseMs
+        val limit = if (zoneUnresponsive) FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS else cluster.timings.unresponsiveReleaseMs
         when {
             taken != null && nowMs > taken + cluster.timings.heartbeatTimeoutMs -> scheduleRelease(m, nowMs, "termination notice ran out, unresponsive")
             nowMs - m.lastContactAtMs > limit -> scheduleRelease(m, nowMs, "unresponsive for ${(nowMs - m.lastContactAtMs) / 1000} s")
--- a/src/main/kotlin/mintfield/core/fleet/Reachability.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Reachability.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-import mintfield.core.Tuning
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.jobs.Attempt
 import mintfield.core.model.Heartbeat
 
@@ -78,7 +78,7 @@
             // A machine that hung reports nothing meanwhile; one that went on reporting has lost its lease unheard.
             val status = answered && m.incarnation != 0L && nowMs - m.lastContactAtMs < leaseMs * REPORTING_SHARE
             incarnationSinceMs = nowMs
-            return if (status) miss(Tuning.DEAF_ANSWERS, nowMs) else false
+            return if (status) miss(WorkerConstants.UNREACHABLE_AFTER_MISSES, nowMs) else false
         }
         val kept = incarnationSinceMs > 0 && nowMs - incarnationSinceMs > leaseMs
         if (!answered) return false
@@ -94,7 +94,7 @@
         nowMs: Long,
     ): Boolean {
         missed += weight
-        return moveTo(if (missed >= Tuning.DEAF_ANSWERS) ReachabilityState.UNREACHABLE else ReachabilityState.SUSPECT, nowMs)
+        return moveTo(if (missed >= WorkerConstants.UNREACHABLE_AFTER_MISSES) ReachabilityState.UNREACHABLE else ReachabilityState.SUSPECT, nowMs)
     }
 
     /** Something that was sent to the machine has had its effect there. */
--- a/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 
 /**
  * Names of machines whose return the cloud has confirmed. Lists and reports may come late, and one of these must not bring back
@@ -22,6 +22,6 @@
     ) {
         returnedAtMs[id] = nowMs
         val oldest = returnedAtMs.values.iterator()
-        while (oldest.hasNext() && nowMs - oldest.next() > Tuning.GONE_KEPT_MS) oldest.remove()
+        while (oldest.hasNext() && nowMs - oldest.next() > FleetConstants.RELEASED_NAMES_KEPT_MS) oldest.remove()
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
@@ -1,7 +1,7 @@
 package mintfield.core.fleet
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
 
 /**
  * A leader's word, kept in the store: it has not answered [machines] since [sinceWallMs] (time of day), and will not
@@ -65,7 +65,7 @@
         nowMs: Long,
         wallMs: Long,
     ) {
-        if (nowMs - lastLookMs < Tuning.DISOWN_LOOK_MS) return
+        if (nowMs - lastLookMs < FleetConstants.ZONE_FENCE_CHECK_MS) return
         lastLookMs = nowMs
         val zones =
             cluster.machines.values
@@ -81,7 +81,7 @@
             }
         }
         for (record in inherited.values.toList()) {
-            if (wallMs - record.sinceWallMs > cluster.timings.leaseExpiryMs + Tuning.WALL_MARGIN_MS) prove(record, nowMs)
+            if (wallMs - record.sinceWallMs > cluster.timings.leaseExpiryMs + FleetConstants.WALL_CLOCK_MARGIN_MS) prove(record, nowMs)
         }
         val gone =
             fenceByMachine.entries
@@ -93,7 +93,7 @@
 
     private fun mostlyUnresponsive(machines: List<Machine>): Boolean {
         val silent = machines.count { it.state == MachineState.UNRESPONSIVE }
-        return silent >= Tuning.DISOWN_LEAST && silent > machines.size * Tuning.SILENT_ZONE_SHARE
+        return silent >= FleetConstants.MIN_FENCED_MACHINES && silent > machines.size * FleetConstants.UNRESPONSIVE_ZONE_FRACTION
     }
 
     private fun hasLeaseFromThisLeader(m: Machine) =
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.Cluster
 import mintfield.core.DirectCall
-import mintfield.core.Tuning
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.fleet.ReachabilityState
@@ -26,8 +26,8 @@
     ): List<DirectCall> {
         if (most <= 0 || nowMs < pausedUntilMs) return emptyList()
         // While none gets through each further one would only be in doubt until the term has risen: one is enough to try.
-        val lost = unanswered >= Tuning.DIRECT_LOST
-        if (lost) pausedUntilMs = nowMs + Tuning.DIRECT_LOST_PAUSE_MS
+        val lost = unanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
+        if (lost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
         val calls = ArrayList<DirectCall>()
         var probes = 0
         for (m in cluster.machines.values) {
@@ -61,7 +61,7 @@
     ): DirectCall? {
         val address = m.address ?: return null
         m.directInFlight = true
-        m.directPausedUntilMs = nowMs + Tuning.DEAF_PROBE_MS
+        m.directPausedUntilMs = nowMs + WorkerConstants.UNREACHABLE_PROBE_MS
         return DirectCall(m.id, address, cluster.token(m), m.incarnation, emptyList())
     }
 
@@ -84,8 +84,12 @@
         val m = cluster.machines[call.machine] ?: return
         m.directInFlight = false
         if (call.commands.isEmpty()) return
-        if (++unanswered == Tuning.DIRECT_LOST) log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
-        m.directPausedUntilMs = nowMs + Tuning.DIRECT_PAUSE_MS
+        if (++unanswered ==
+            WorkerConstants.DIRECT_PATH_LOST_AFTER
+        ) {
+            log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
+        }
+        m.directPausedUntilMs = nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
         if (sent) m.unacknowledgedTerm = maxOf(m.unacknowledgedTerm, call.term)
         log("no answer from ${m.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -1,7 +1,7 @@
 package mintfield.core.jobs
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 
 /** What is believed of a job, by how its tasks end. */
@@ -48,7 +48,7 @@
         job.failures++
         job.failedOn.add(m.id)
         job.longestFailMs = maxOf(job.longestFailMs, afterMs)
-        job.notBeforeMs = nowMs + Tuning.FAILURE_PAUSE_MS
+        job.notBeforeMs = nowMs + PlacementConstants.FAILURE_BACKOFF_MS
         when (job.health) {
             JobHealth.HEALTHY -> {
                 m.failures++
@@ -56,7 +56,8 @@
             }
 
             JobHealth.SUSPECT -> {
-                job.notBeforeMs = nowMs + minOf(Tuning.TRIAL_PAUSE_MS shl minOf(job.probes++, MOST_DOUBLINGS), Tuning.TRIAL_PAUSE_MAX_MS)
+                job.notBeforeMs =
+                    nowMs + minOf(PlacementConstants.PROBE_BACKOFF_MS shl minOf(job.probes++, MOST_DOUBLINGS), PlacementConstants.MAX_PROBE_BACKOFF_MS)
                 return
             }
 
@@ -65,10 +66,10 @@
                 m.suspectJobs.add(job.id)
                 job.failuresByMachine.merge(m, 1, Int::plus)
                 cluster.unprovenJobs.add(job)
-                if (job.failuresByMachine.keys.count { it.attributedFailures == 0 } >= Tuning.BAD_JOB_MACHINES) return markSuspect(job, nowMs)
+                if (job.failuresByMachine.keys.count { it.attributedFailures == 0 } >= PlacementConstants.SUSPECT_JOB_MACHINES) return markSuspect(job, nowMs)
             }
         }
-        if (m.failures >= Tuning.SICK_FAILURES && nowMs >= m.quarantinedUntilMs) setAside(m, nowMs)
+        if (m.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= m.quarantinedUntilMs) setAside(m, nowMs)
     }
 
     /** A machine that fails what it is given would, being empty, draw ever more tasks. One job alone is as likely at fault. */
@@ -79,7 +80,7 @@
         val sure = m.attributedFailures > 0 || m.suspectJobs.size >= 2
         val whose = "${m.attributedFailures} attributed to it, the rest to ${m.suspectJobs.size} unproven jobs"
         log("${m.id} fails ${m.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
-        m.quarantinedUntilMs = nowMs + if (sure) Tuning.SICK_PAUSE_MS else Tuning.SUSPECT_PAUSE_MS
+        m.quarantinedUntilMs = nowMs + if (sure) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
     }
 
     private fun markSuspect(
@@ -88,7 +89,7 @@
     ) {
         log("${job.id}: suspect, failed ${job.failures} times on ${job.failedOn.size} machines: probed with few tasks from now on")
         job.changeHealth(JobHealth.SUSPECT)
-        job.notBeforeMs = nowMs + Tuning.TRIAL_PAUSE_MS
+        job.notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
         for ((m, times) in job.failuresByMachine) {
             if (!m.suspectJobs.remove(job.id)) continue
             m.failures = maxOf(0, m.failures - times)
@@ -116,7 +117,7 @@
     fun look(nowMs: Long) {
         if (cluster.unprovenJobs.isEmpty()) return
         for (job in cluster.unprovenJobs.toList()) {
-            val enough = maxOf(Tuning.SOUND_RUN_MS, job.longestFailMs * FAIL_TIMES)
+            val enough = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.longestFailMs * FAIL_TIMES)
             if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enough }) clear(job, nowMs)
         }
     }
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -1,7 +1,9 @@
 package mintfield.core.jobs
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.WorkerConstants
 import mintfield.core.fleet.ForeignTask
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
@@ -97,7 +99,7 @@
             log("${m.id}: unreachable: its heartbeats arrive but responses to it are lost; no new tasks are placed there")
         }
         if (h.state == ReachabilityState.REACHABLE && h.episodes > 0) {
-            val pause = Tuning.DEAF_PAUSE_MS shl minOf(h.episodes, Tuning.DEAF_DOUBLINGS)
+            val pause = WorkerConstants.REACHABLE_BACKOFF_MS shl minOf(h.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
             m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + pause)
             log("${m.id}: reachable again, new tasks in $pause ms")
         }
@@ -183,7 +185,7 @@
 
             ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> {
                 cluster.release(a, nowMs, "refused: $cause")
-                m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + Tuning.FAILURE_PAUSE_MS)
+                m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
             }
 
             ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> {
@@ -255,7 +257,7 @@
                 }
                 continue
             }
-            if (a == null && job == null && nowMs - m.adoptedAtMs < Tuning.GUEST_PATIENCE_MS) continue
+            if (a == null && job == null && nowMs - m.adoptedAtMs < ShardingConstants.FOREIGN_TASK_GRACE_MS) continue
             if (a != null) seen.add(t.task)
             if (t.state == TaskState.ENDED) {
                 if (viaHeartbeat && a == null && mayAcknowledge(t, job)) {
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -1,6 +1,6 @@
 package mintfield.core.jobs
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.JobSpec
@@ -260,8 +260,8 @@
         get() =
             when {
                 spec.shape == Shape.GANG -> Int.MAX_VALUE
-                health == JobHealth.SUSPECT -> Tuning.TRIAL_TASKS
-                health == JobHealth.UNKNOWN && failures >= Tuning.CAREFUL_FAILURES -> Tuning.CAREFUL_TASKS
+                health == JobHealth.SUSPECT -> PlacementConstants.PROBE_TASKS
+                health == JobHealth.UNKNOWN && failures >= PlacementConstants.CAUTIOUS_AFTER_FAILURES -> PlacementConstants.CAUTIOUS_TASKS
                 else -> Int.MAX_VALUE
             }
 
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -1,6 +1,6 @@
 package mintfield.core.jobs
 
-import mintfield.core.Tuning
+import mintfield.core.constants.StoreConstants
 import mintfield.core.dependencies.DependencyGraph
 import mintfield.core.dependencies.DependencyListener
 import mintfield.core.model.AcceptedJob
@@ -84,7 +84,7 @@
 
     /** The marks of records that cannot be read. */
     private val unreadable = HashMap<String, Long>()
-    private val finals = FinalStates(Tuning.MAX_CACHED_FINALS)
+    private val finals = FinalStates(StoreConstants.MAX_CACHED_FINAL_STATES)
 
     /** When jobs were removed while a snapshot was being read, which may still hold them. */
     private val removedAt = HashMap<String, Long>()
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -1,8 +1,8 @@
 package mintfield.core.jobs
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
 import mintfield.core.Write
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.FleetManager
 import mintfield.core.fleet.Machine
 
@@ -123,7 +123,7 @@
         val due = open.any { it.planning || (it.unwrittenSinceMs > 0 && nowMs - it.unwrittenSinceMs >= patienceMs) }
         if (!due) return 0
         val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwrittenSinceMs })
-        val maxBytes = (cluster.limits.valueBytes * Tuning.VALUE_FILL).toInt()
+        val maxBytes = (cluster.limits.valueBytes * PlacementConstants.MAX_VALUE_FILL).toInt()
         val most = minOf(room, MAX_ROUND_VALUES)
         val records = RoundPacker.take(order, maxBytes, most, mostJobs())
         for (record in records) {
@@ -141,7 +141,7 @@
     fun refresh(nowMs: Long) {
         var left = REFRESH_AT_ONCE
         for (round in rounds.values) {
-            if (left <= 0 || nowMs - round.writtenAtMs < Tuning.ROUND_KEEP_MS) return
+            if (left <= 0 || nowMs - round.writtenAtMs < PlacementConstants.ROUND_REWRITE_MS) return
             if (round.refreshed) continue
             round.refreshed = true
             left--
@@ -154,7 +154,7 @@
     }
 
     /** Jobs that one transaction may touch: each needs a guard, as do the leader key and each other write. */
-    private fun mostJobs(): Int = cluster.limits.txnOps * (Tuning.GUARDS_PER_WRITE - 1) - 1
+    private fun mostJobs(): Int = cluster.limits.txnOps * (PlacementConstants.PRECONDITIONS_PER_WRITE - 1) - 1
 
     fun putBack(
         writes: List<Write>,
--- a/src/main/kotlin/mintfield/core/jobs/RunTimes.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RunTimes.kt
@@ -1,6 +1,6 @@
 package mintfield.core.jobs
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 
 /**
  * What tasks really take. Owners' estimates are often wrong by half, and on some days all in the same direction, so
@@ -24,12 +24,12 @@
         val sample = Math.log(seconds / job.spec.estimateS).coerceIn(-MAX_LOG, MAX_LOG)
         val before = logRatio[job.spec.jobClass]
         // Every task of a job tells much the same; a single job must not outweigh the class.
-        val weight = Tuning.RATIO_WEIGHT / job.measured
+        val weight = PlacementConstants.RUN_TIME_RATIO_WEIGHT / job.measured
         logRatio[job.spec.jobClass] = if (before == null) sample * FIRST_WEIGHT else before + weight * (sample - before)
     }
 
     fun expectedS(job: Job): Double {
-        if (job.measured >= Tuning.MEASURED_ENOUGH) return job.measuredS / job.measured
+        if (job.measured >= PlacementConstants.MIN_RUN_TIME_SAMPLES) return job.measuredS / job.measured
         return job.spec.estimateS * Math.exp(logRatio[job.spec.jobClass] ?: 0.0)
     }
 
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 import mintfield.core.model.Settings
 
 /** A stretch of a [CancellationLog]: entries from number [from] on, of [total] in all. */
@@ -18,7 +18,7 @@
  */
 class CancellationLog(
     private val incarnation: Long,
-    private val size: Size = Size(Tuning.CANCELLATIONS_KEPT, Tuning.CANCELLATIONS_AT_ONCE),
+    private val size: Size = Size(PeerConstants.MIN_CANCELLATIONS_KEPT, PeerConstants.MIN_CANCELLATIONS_PER_PAGE),
 ) {
     /** How many entries are [kept], and how many of them go into one page. */
     data class Size(
@@ -29,8 +29,12 @@
             /** Each cancellation is a change of the store, so there are no more of them than it permits. */
             fun of(settings: Settings) =
                 Size(
-                    kept = maxOf(Tuning.CANCELLATIONS_KEPT, (settings.stateWriteRps * settings.cancelS * Tuning.CANCELLATIONS_KEPT_TIMES).toInt()),
-                    page = maxOf(Tuning.CANCELLATIONS_AT_ONCE, (settings.stateWriteRps * Tuning.CANCELLATIONS_AT_ONCE_S).toInt()),
+                    kept =
+                        maxOf(
+                            PeerConstants.MIN_CANCELLATIONS_KEPT,
+                            (settings.stateWriteRps * settings.cancelS * PeerConstants.CANCELLATIONS_KEPT_FACTOR).toInt(),
+                        ),
+                    page = maxOf(PeerConstants.MIN_CANCELLATIONS_PER_PAGE, (settings.stateWriteRps * PeerConstants.CANCELLATIONS_PER_PAGE_S).toInt()),
                 )
         }
     }
--- a/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
+++ b/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 
 /**
  * Brings workers whose heartbeats come through peers back to the leader itself: through a peer they depend on two
@@ -28,9 +28,9 @@
         zone: String,
         nowMs: Long,
     ): Boolean {
-        if (within(sentAtMs[machine], nowMs, Tuning.RELAY_AGAIN_MS)) return false
+        if (within(sentAtMs[machine], nowMs, PeerConstants.REDIRECT_BACKOFF_MS)) return false
         if (!within(directAtMs[zone], nowMs, directFreshMs)) {
-            if (within(scoutAtMs[zone], nowMs, Tuning.SCOUT_MS)) return false
+            if (within(scoutAtMs[zone], nowMs, PeerConstants.DIRECT_ROUTE_PROBE_MS)) return false
             scoutAtMs[zone] = nowMs
         }
         sentAtMs[machine] = nowMs
@@ -59,7 +59,7 @@
     ): String? {
         if (peer == null) return null
         val last = sentAtMs[machine]
-        if (last != null && nowMs - last < Tuning.RELAY_AGAIN_MS) return null
+        if (last != null && nowMs - last < PeerConstants.REDIRECT_BACKOFF_MS) return null
         sentAtMs[machine] = nowMs
         return peer
     }
--- a/src/main/kotlin/mintfield/core/leadership/Isolation.kt
+++ b/src/main/kotlin/mintfield/core/leadership/Isolation.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 
 /** What a controller may not do because it is cut off, by what it hears of the store and its peers. */
 class Isolation(
@@ -21,5 +21,5 @@
     fun redirectsWorkers(
         leaseLeftMs: Long,
         nowMs: Long,
-    ): Boolean = leaseLeftMs < -Tuning.ISOLATED_MS && store.unservedForLong(nowMs) && !peers.isAnyReachable(nowMs)
+    ): Boolean = leaseLeftMs < -PeerConstants.ISOLATED_MS && store.unservedForLong(nowMs) && !peers.isAnyReachable(nowMs)
 }
--- a/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.LeadershipConstants
 
 enum class Role {
     /** Looks who leads. */
@@ -62,7 +62,7 @@
         sentAtMs = maxOf(sentAtMs, renewalSentAtMs)
     }
 
-    fun leftMs(nowMs: Long): Long = sentAtMs + (lifeMs * (1 - Tuning.CLOCK_DRIFT)).toLong() - Tuning.LEASE_MARGIN_MS - nowMs
+    fun leftMs(nowMs: Long): Long = sentAtMs + (lifeMs * (1 - LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() - LeadershipConstants.LEASE_MARGIN_MS - nowMs
 
     fun mayAct(nowMs: Long) = leftMs(nowMs) > 0
 }
--- a/src/main/kotlin/mintfield/core/leadership/LeaseRenewalLimit.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaseRenewalLimit.kt
@@ -1,6 +1,7 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.PeerConstants
 import mintfield.core.model.Settings
 
 /**
@@ -12,7 +13,8 @@
     settings: Settings,
 ) {
     /** Milliseconds from that moment to the last renewal of a worker. */
-    private val longestMs = ((settings.cancelS - settings.leaseS * (1 + Tuning.CLOCK_DRIFT)) * MS).toLong() - Tuning.RENEWAL_MARGIN_MS
+    private val longestMs =
+        ((settings.cancelS - settings.leaseS * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)) * MS).toLong() - PeerConstants.LEASE_RENEWAL_MARGIN_MS
 
     /** Whether a worker may be renewed [sinceKnownMs] after the moment up to which all cancellations are known. */
     fun allows(sinceKnownMs: Long): Boolean = sinceKnownMs < longestMs
--- a/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 
 /** When each peer was last heard, and whether the store served it then. */
 class PeerFailureDetector(
@@ -31,7 +31,7 @@
         refusedAtMs[peer] = nowMs
     }
 
-    private fun Contact.isFresh(nowMs: Long) = nowMs - atMs < Tuning.PEER_FRESH_MS
+    private fun Contact.isFresh(nowMs: Long) = nowMs - atMs < PeerConstants.PEER_STATUS_TIMEOUT_MS
 
     /** Whether [peer] has been heard lately. */
     fun isReachable(
@@ -65,7 +65,7 @@
         peer: String,
         nowMs: Long,
     ): Boolean {
-        if (nowMs - (refusedAtMs[peer] ?: startedAtMs) < Tuning.PEER_FRESH_MS) return false
-        return nowMs - (recordContact[peer]?.atMs ?: startedAtMs) > Tuning.PARK_AFTER_MS
+        if (nowMs - (refusedAtMs[peer] ?: startedAtMs) < PeerConstants.PEER_STATUS_TIMEOUT_MS) return false
+        return nowMs - (recordContact[peer]?.atMs ?: startedAtMs) > PeerConstants.PEER_UNREACHABLE_AFTER_MS
     }
 }
--- a/src/main/kotlin/mintfield/core/leadership/RelayPeerSelector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/RelayPeerSelector.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 
 /**
  * Where workers had better report while a controller is silent. A worker whose controller does not answer waits 4 s, and a
@@ -37,7 +37,7 @@
         nowMs: Long,
     ): Boolean {
         val last = sentAtMs[machine]
-        if (wasRelayed || (last != null && nowMs - last < Tuning.PARK_AGAIN_MS)) return false
+        if (wasRelayed || (last != null && nowMs - last < PeerConstants.RELAY_REDIRECT_BACKOFF_MS)) return false
         sentAtMs[machine] = nowMs
         return true
     }
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.PeerConstants
 
 /** Whether the store serves this controller, by what became of its calls. */
 class StoreConnectivity {
@@ -29,8 +29,8 @@
     }
 
     /** Whether it has not served this controller for a while. */
-    fun unservedForLong(nowMs: Long): Boolean = unservedSinceMs?.let { nowMs - it > Tuning.ALONE_REFUSED_MS } ?: false
+    fun unservedForLong(nowMs: Long): Boolean = unservedSinceMs?.let { nowMs - it > PeerConstants.STORE_UNAVAILABLE_MS } ?: false
 
     /** Whether nothing at all has come from it for a while: unlike an outage, in which it refuses, this is a cut. */
-    fun cut(nowMs: Long): Boolean = noAnswerSinceMs?.let { nowMs - it > Tuning.ALONE_REFUSED_MS } ?: false
+    fun cut(nowMs: Long): Boolean = noAnswerSinceMs?.let { nowMs - it > PeerConstants.STORE_UNAVAILABLE_MS } ?: false
 }
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentTable.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentTable.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 
 /** One block of the table as the store holds it, at the revision [revision]; [assignments] is null if it cannot be read. */
 class AssignmentBlock(
@@ -33,8 +33,8 @@
         val sinceRevision: Long,
     )
 
-    private val blockRevisions = LongArray(Tuning.ASSIGNMENT_BLOCKS)
-    private val unreadable = BooleanArray(Tuning.ASSIGNMENT_BLOCKS)
+    private val blockRevisions = LongArray(ShardingConstants.ASSIGNMENT_BLOCKS)
+    private val unreadable = BooleanArray(ShardingConstants.ASSIGNMENT_BLOCKS)
     private val entries = HashMap<String, Entry>()
 
     /** All changes up to this revision are shown; 0 until the table has been read. */
@@ -103,6 +103,6 @@
 
     companion object {
         /** The block that holds the assignment of [machine]. The hash of a string is the same on every platform. */
-        fun blockOf(machine: String): Int = Math.floorMod(machine.hashCode(), Tuning.ASSIGNMENT_BLOCKS)
+        fun blockOf(machine: String): Int = Math.floorMod(machine.hashCode(), ShardingConstants.ASSIGNMENT_BLOCKS)
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
@@ -1,7 +1,7 @@
 package mintfield.core.ownership
 
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Attempt
@@ -84,7 +84,7 @@
 
     /** The questions that are due, one for each machine. */
     fun due(nowMs: Long): List<ForeignTaskQuery> {
-        if (!scheduler.loaded || nowMs - lastMs < Tuning.GUEST_QUERY_MS) return emptyList()
+        if (!scheduler.loaded || nowMs - lastMs < ShardingConstants.FOREIGN_TASK_QUERY_INTERVAL_MS) return emptyList()
         lastMs = nowMs
         val remoteMachines =
             scheduler.cluster.machines.values
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.ScaleOutIntent
 import mintfield.core.Scheduler
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.AttemptState
@@ -70,7 +70,7 @@
         reconcile(nowMs)
         times.shown(table.moving, nowMs)
         times.observeTokens({ machine -> cluster.machines[machine]?.let(cluster::hasSeenOurToken) == true }, nowMs)
-        val wanted = (moves(nowMs) + claims(nowMs) + drops() + transferred(nowMs)).take(Tuning.ASSIGNMENT_CHANGES_AT_ONCE)
+        val wanted = (moves(nowMs) + claims(nowMs) + drops() + transferred(nowMs)).take(ShardingConstants.MAX_ASSIGNMENT_CHANGES)
         val transaction = transaction(wanted) ?: return null
         transaction.changes.forEach { if (it.kind == AssignmentChange.Kind.RELEASE) ownership.letGo(it.machine) }
         return transaction
@@ -113,7 +113,7 @@
         nowMs: Long,
     ): AssignmentChange? {
         val since = offeredSinceMs.getOrPut(machine) { nowMs }
-        if (nowMs - since < Tuning.OFFER_PATIENCE_MS) return null
+        if (nowMs - since < ShardingConstants.OFFER_TIMEOUT_MS) return null
         return change(AssignmentChange.Kind.TAKE_BACK, machine, Handover.takeBack(assignment, shard, shards))
     }
 
@@ -146,7 +146,7 @@
         val lagMs = if (table.assigned.isEmpty()) 0 else fleet.listLagMs()
         for ((machine, sinceMs) in fleet.ownerless) {
             val waitedMs = nowMs - sinceMs
-            if (waitedMs >= lagMs && claimPolicy.takes(machine, waitedMs > lagMs + Tuning.ABANDONED_MS)) ownership.toClaim.add(machine)
+            if (waitedMs >= lagMs && claimPolicy.takes(machine, waitedMs > lagMs + ShardingConstants.CLAIM_TIMEOUT_MS)) ownership.toClaim.add(machine)
         }
         return ownership.toClaim.mapNotNull { change(AssignmentChange.Kind.CLAIM, it, Handover.claim(table.assignment(it), shard)) }
     }
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -1,7 +1,7 @@
 package mintfield.core.ownership
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 
@@ -46,9 +46,9 @@
         targets: Collection<String>,
     ): Map<String, String> {
         val idle = idle(nowMs)
-        if (nowMs - lastLookMs < Tuning.REBALANCE_MS) return emptyMap()
+        if (nowMs - lastLookMs < ShardingConstants.REBALANCE_INTERVAL_MS) return emptyMap()
         lastLookMs = nowMs
-        grants.removeAll { nowMs - it.atMs > Tuning.GRANT_COUNTS_MS }
+        grants.removeAll { nowMs - it.atMs > ShardingConstants.TRANSFER_PENDING_MS }
         val others = targets.filter { it != shard && shards.isLive(it) }.mapNotNull { name -> loads.load(name)?.let { name to it } }.toMap()
         val deficits = others.map { (name, load) -> Deficit(name, load, load.shortCpus - granted(name)) }.filter { it.deficitCpus > 0 }
         deficitSinceMs.keys.retainAll(deficits.mapTo(HashSet()) { it.name })
@@ -64,14 +64,14 @@
         return transferred.entries.associate { (machine, target) -> machine.id to target }
     }
 
-    private fun mostAtOnce(): Int = minOf(maxOf(1, (table.count(shard) * Tuning.REBALANCE_SHARE).toInt()), shards.spare(shard))
+    private fun mostAtOnce(): Int = minOf(maxOf(1, (table.count(shard) * ShardingConstants.REBALANCE_FRACTION).toInt()), shards.spare(shard))
 
     private fun granted(target: String) = grants.sumOf { if (it.target == target) it.cpus else 0.0 }
 
     private fun idle(nowMs: Long): List<Machine> {
         val now = cluster.machines.values.filter { it.state == MachineState.UP && !it.inUse && cluster.ownership.mayStart(it.id) }
         idleSinceMs.keys.retainAll(now.mapTo(HashSet()) { it.id })
-        return now.filter { nowMs - idleSinceMs.getOrPut(it.id) { nowMs } >= Tuning.IDLE_GIVEN_MS }
+        return now.filter { nowMs - idleSinceMs.getOrPut(it.id) { nowMs } >= ShardingConstants.IDLE_TRANSFER_MS }
     }
 
     /** Machines that stand idle and that this share's own waiting tasks have no use for. */
@@ -104,10 +104,10 @@
         val due = FairShares.divide(all.values.sumOf { it.ownedCpus }, all.mapValues { (name, load) -> FairShares.Claim(loads.weight(name), load.wantedCpus) })
         val ownDue = due.getValue(shard)
         var excess = own.ownedCpus - ownDue
-        if (excess <= ownDue * Tuning.FAIR_SLACK) return emptyMap()
+        if (excess <= ownDue * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyMap()
         val target = deficits.maxByOrNull { lackOf(it, due) / due.getValue(it.name) } ?: return emptyMap()
         var lack = lackOf(target, due)
-        if (lack <= due.getValue(target.name) * Tuning.FAIR_SLACK) return emptyMap()
+        if (lack <= due.getValue(target.name) * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyMap()
         val transferred = LinkedHashMap<Machine, String>()
         for (machine in movable(nowMs).filter { target.wants(it) }) {
             if (transferred.size == most) break
@@ -126,7 +126,9 @@
         nowMs: Long,
     ): Map<Machine, String> {
         if (own.shortCpus > 0) return emptyMap()
-        val target = deficits.filter { nowMs - deficitSinceMs.getValue(it.name) > Tuning.ROOM_PATIENCE_MS }.maxByOrNull { it.deficitCpus } ?: return emptyMap()
+        val target =
+            deficits.filter { nowMs - deficitSinceMs.getValue(it.name) > ShardingConstants.CAPACITY_TRANSFER_DELAY_MS }.maxByOrNull { it.deficitCpus }
+                ?: return emptyMap()
         val machine = movable(nowMs).firstOrNull { target.wants(it) && it.freeCpus >= target.load.smallestCpus } ?: return emptyMap()
         return mapOf(machine to target.name)
     }
@@ -140,6 +142,6 @@
     /** Machines that may be given though they are in use, those with the most room first; none that has just come. */
     private fun movable(nowMs: Long): List<Machine> =
         cluster.machines.values
-            .filter { it.state == MachineState.UP && cluster.ownership.mayStart(it.id) && nowMs - it.adoptedAtMs > Tuning.KEPT_AFTER_MOVE_MS }
+            .filter { it.state == MachineState.UP && cluster.ownership.mayStart(it.id) && nowMs - it.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS }
             .sortedByDescending { it.freeCpus }
 }
--- a/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-import mintfield.core.Tuning
+import mintfield.core.constants.ShardingConstants
 
 /** What a controller knows of its peers when it decides who should lead a share. */
 interface PeerLiveness {
@@ -29,10 +29,10 @@
         led: Int,
     ): Long =
         when {
-            member in drained() -> Tuning.DRAINED_STAND_MS
+            member in drained() -> ShardingConstants.DRAINED_CAMPAIGN_DELAY_MS
             shard.home == member -> 0
-            shard.home in drained() -> led * Tuning.LED_SHARE_STAND_MS
-            else -> Tuning.HOME_FIRST_MS + led * Tuning.LED_SHARE_STAND_MS
+            shard.home in drained() -> led * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
+            else -> ShardingConstants.HOME_HEAD_START_MS + led * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
         }
 
     /** Why [shard], which this controller leads, is to be given up now; null if it is not. */
@@ -46,7 +46,11 @@
         nowMs: Long,
     ): String? {
         val successor = peers.names.any { it !in drained() && peers.isUpAndServed(it) }
-        if (!heldFor(Tuning.DRAIN_HOLD_MS, shard, successor, nowMs) || nowMs - lastDrainMs < Tuning.DRAIN_STEP_MS) return null
+        if (!heldFor(ShardingConstants.DRAIN_SUCCESSOR_STABLE_MS, shard, successor, nowMs) ||
+            nowMs - lastDrainMs < ShardingConstants.DRAIN_INTERVAL_MS
+        ) {
+            return null
+        }
         lastDrainMs = nowMs
         return "$member is drained"
     }
@@ -56,7 +60,7 @@
         nowMs: Long,
     ): String? {
         val successor = shard.home != member && shard.home !in drained() && peers.isUpAndServed(shard.home)
-        return if (heldFor(Tuning.HOME_RETURN_MS, shard, successor, nowMs)) "${shard.home} is up, the home of ${shard.name}" else null
+        return if (heldFor(ShardingConstants.HOME_STABLE_MS, shard, successor, nowMs)) "${shard.home} is up, the home of ${shard.name}" else null
     }
 
     /** Whether there has been a successor for [forMs]; after that, another try comes no sooner than in the same time again. */
--- a/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
@@ -1,7 +1,7 @@
 package mintfield.core.placement
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.Job
 import mintfield.core.model.Shape
@@ -54,7 +54,8 @@
     }
 
     /** Whether the machines with the image of an array hold enough for all that it has waiting. */
-    fun enough(job: Job): Boolean = job.spec.shape == Shape.ARRAY && holders(job).cpus >= job.schedulableTasks * job.spec.cpus * Tuning.IMAGE_ROOM
+    fun enough(job: Job): Boolean =
+        job.spec.shape == Shape.ARRAY && holders(job).cpus >= job.schedulableTasks * job.spec.cpus * PlacementConstants.IMAGE_CAPACITY_FACTOR
 
     /**
      * Seconds of fetching that a task of [job] may be given: no more than it would wait for room where its image is, or for
@@ -62,9 +63,13 @@
      * waits for may be held by others, or be where its rules do not let it go.
      */
     fun patienceS(job: Job): Double {
-        if (job.spec.shape != Shape.ARRAY || nowMs - maxOf(job.firstSeenAtMs, job.lastPlanAtMs) > Tuning.IMAGE_PATIENCE_MS) return Double.MAX_VALUE
+        if (job.spec.shape != Shape.ARRAY ||
+            nowMs - maxOf(job.firstSeenAtMs, job.lastPlanAtMs) > PlacementConstants.IMAGE_WAIT_LIMIT_MS
+        ) {
+            return Double.MAX_VALUE
+        }
         val h = holders(job)
         if (h.cpus <= 0) return Double.MAX_VALUE
-        return maxOf(backlogS, h.waitingS / h.cpus) + Tuning.FETCH_SLACK_S
+        return maxOf(backlogS, h.waitingS / h.cpus) + PlacementConstants.FETCH_SLACK_S
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -1,7 +1,7 @@
 package mintfield.core.placement
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.JobHealth
@@ -143,8 +143,8 @@
         wallMs: Long,
     ): Pair<List<Claim>, List<Claim>> {
         if (deadlineCritical.isEmpty()) return deadlineCritical to deadlineCritical
-        val (feasible, late) = feasible(deadlineCritical, 0.0, capacity * Tuning.AHEAD_SHARE, wallMs) { it.strictDue!! }
-        var room = capacity * Tuning.AHEAD_SHARE
+        val (feasible, late) = feasible(deadlineCritical, 0.0, capacity * PlacementConstants.MAX_BOOSTED_CPU_FRACTION, wallMs) { it.strictDue!! }
+        var room = capacity * PlacementConstants.MAX_BOOSTED_CPU_FRACTION
         for (job in cluster.jobs.values) if (job.boosted) room -= job.activeAttempts.size * job.spec.cpus
         val (first, others) =
             feasible.sortedWith(compareBy({ it.strictDue }, { it.job.spec.id })).partition { c ->
@@ -161,8 +161,8 @@
         wallMs: Long,
     ): Boolean {
         val due = c.strictDue ?: return false
-        val needMs = (c.leastS * Tuning.PRESSING_RUN + c.workS / (capacity * Tuning.PRESSING_SHARE)) * 1000
-        return wallMs + needMs + Tuning.PRESSING_MS > due
+        val needMs = (c.leastS * PlacementConstants.CRITICAL_RUN_FACTOR + c.workS / (capacity * PlacementConstants.CRITICAL_CPU_FRACTION)) * 1000
+        return wallMs + needMs + PlacementConstants.CRITICAL_SLACK_MS > due
     }
 
     /** CPUs of the machines that heartbeat, less those of replicas. */
@@ -189,7 +189,7 @@
             val due = fromMs + (dueS(aim, spec, expected) ?: continue) * 1000
             if (due < least) continue
             dues.add(due)
-            if ((aim.targetFraction ?: 0.0) >= Tuning.STRICT_SHARE && (strict == null || due < strict)) strict = due
+            if ((aim.targetFraction ?: 0.0) >= PlacementConstants.STRICT_OBJECTIVE_FRACTION && (strict == null || due < strict)) strict = due
         }
         val own = if (aims[spec.jobClass].orEmpty().any { it.kind == DEADLINE }) null else spec.deadlineS
         val other = own ?: if (spec.jobClass in aims) null else DEFAULT_DUE_S + expected
--- a/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
+++ b/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
@@ -1,7 +1,7 @@
 package mintfield.core.placement
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.model.JobSpec
 import mintfield.core.model.Shape
@@ -27,7 +27,7 @@
         for (job in cluster.jobs.values) if (job.spec.shape == Shape.SERVICE) most = maxOf(most, job.spec.cpus)
         for (m in open) held += m.serviceCpus
         each = most
-        wanted = maxOf(most * Tuning.RESERVE_REPLICAS, held * Tuning.RESERVE_SHARE)
+        wanted = maxOf(most * PlacementConstants.RESERVE_REPLICAS, held * PlacementConstants.RESERVE_CPU_FRACTION)
         for (m in open) free += roomOn(m, 0.0)
     }
 
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -1,7 +1,7 @@
 package mintfield.core.placement
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Attempt
@@ -48,7 +48,7 @@
         }
         val setAside = turns.setAside(open)
         val patient = ArrayList<Job>()
-        val congested = waiting.sumOf { it.schedulableTasks * it.spec.cpus } > open.sumOf { it.type.cpus } * Tuning.CROWDED_SHARE
+        val congested = waiting.sumOf { it.schedulableTasks * it.spec.cpus } > open.sumOf { it.type.cpus } * PlacementConstants.CROWDED_CPU_FRACTION
         for (job in order) {
             if (planned >= most) break
             val waits = congested && images.enough(job)
@@ -158,7 +158,7 @@
                     if (r.image > limit) continue
                     val m = r.machine
                     if (r.image != ImageRank.THERE && m.fetchS(spec.image, spec.imageGb) > patienceS) continue
-                    val most = if (phase.spreading && spec.shape == Shape.SERVICE) m.type.cpus * Tuning.SPREAD_SHARE else m.type.cpus
+                    val most = if (phase.spreading && spec.shape == Shape.SERVICE) m.type.cpus * PlacementConstants.SPREAD_CPU_FRACTION else m.type.cpus
                     while (
                         tasks.hasNext() &&
                         m.serviceCpus + spec.cpus <= most &&
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -1,7 +1,7 @@
 package mintfield.core.placement
 
 import mintfield.core.Cluster
-import mintfield.core.Tuning
+import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.Job
 import mintfield.core.model.JobSpec
@@ -25,13 +25,13 @@
     fun first(capacity: Double): List<Pair<Job, Int>> {
         val turns = ArrayList<Pair<Job, Int>>()
         for (job in waiting) {
-            if (job.spec.shape != Shape.ARRAY || job.begun || ageMs(job) < Tuning.BEGIN_MS) continue
-            turns.add(job to minOf(job.schedulableTasks, maxOf(1, (job.spec.tasks * Tuning.BEGIN_SHARE).toInt())))
+            if (job.spec.shape != Shape.ARRAY || job.begun || ageMs(job) < PlacementConstants.STARVATION_MS) continue
+            turns.add(job to minOf(job.schedulableTasks, maxOf(1, (job.spec.tasks * PlacementConstants.STARVATION_TASK_FRACTION).toInt())))
         }
         turns.sortWith(compareBy({ it.first.readySinceMs }, { it.first.spec.id }))
-        val old = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.cancelled && ageMs(it) > Tuning.OLD_MS }
+        val old = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.cancelled && ageMs(it) > PlacementConstants.LONG_STARVATION_MS }
         if (old.isEmpty()) return turns
-        var room = capacity * Tuning.OLD_SHARE - old.sumOf { it.activeAttempts.size * it.spec.cpus }
+        var room = capacity * PlacementConstants.LONG_STARVATION_CPU_FRACTION - old.sumOf { it.activeAttempts.size * it.spec.cpus }
         val order = compareBy<Job>({ cluster.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
         val asking = waiting.toHashSet()
         for (job in old.filter { it in asking }.sortedWith(order)) {
@@ -50,7 +50,7 @@
     fun setAside(open: List<Machine>): Set<Machine> {
         val gang =
             waiting
-                .filter { it.spec.shape == Shape.GANG && ageMs(it) > Tuning.BEGIN_MS }
+                .filter { it.spec.shape == Shape.GANG && ageMs(it) > PlacementConstants.STARVATION_MS }
                 .minWithOrNull(compareBy({ it.readySinceMs }, { it.spec.id })) ?: return emptySet()
         val spec = gang.spec
         val fitting = open.filter { it.type.name in gang.compatibleTypes && (!it.spot || spec.spot) && (spec.zone == null || it.zone == spec.zone) }
--- a/src/main/kotlin/mintfield/io/cloud/CloudClient.kt
+++ b/src/main/kotlin/mintfield/io/cloud/CloudClient.kt
@@ -1,7 +1,8 @@
 package mintfield.io.cloud
 
 import mintfield.core.ScaleOutIntent
-import mintfield.core.Tuning
+import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.core.fleet.ListedMachine
 import mintfield.core.model.MachineType
 import mintfield.io.http.HttpClient
@@ -82,7 +83,7 @@
     }
 
     suspend fun list(after: String?): CloudResult<Pair<List<ListedMachine>, Boolean>> =
-        ask("GET", "/rentals?most=${Tuning.PAGE}" + (after?.let { "&after=$it" } ?: ""), null) { a ->
+        ask("GET", "/rentals?most=${StoreConstants.PAGE_ENTRIES}" + (after?.let { "&after=$it" } ?: ""), null) { a ->
             val page =
                 a.json["plots"].asList().orEmpty().mapNotNull { item ->
                     val m = item.asMap() ?: return@mapNotNull null
@@ -105,7 +106,7 @@
         read: (Reply.Answer) -> T,
     ): CloudResult<T> {
         rateLimiter.acquire()
-        return when (val reply = client.call(method, path, body, Tuning.CLOUD_TIMEOUT_MS)) {
+        return when (val reply = client.call(method, path, body, FleetConstants.CLOUD_TIMEOUT_MS)) {
             is Reply.None -> CloudResult.Failed(reply.reason)
             is Reply.Answer ->
                 when {
--- a/src/main/kotlin/mintfield/io/http/HttpClient.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpClient.kt
@@ -1,7 +1,7 @@
 package mintfield.io.http
 
 import kotlinx.coroutines.CancellationException
-import mintfield.core.Tuning
+import mintfield.core.constants.HttpConstants
 import mintfield.io.json.Json
 import mintfield.io.json.asMap
 import mintfield.io.loop.EventLoop
@@ -39,7 +39,7 @@
     private val group: AsynchronousChannelGroup,
     private val address: InetSocketAddress,
     private val maxIdle: Int,
-    private val maxBody: Int = Tuning.MAX_ANSWER_BYTES,
+    private val maxBody: Int = HttpConstants.MAX_RESPONSE_BYTES,
 ) {
     private class Connection(
         val channel: AsynchronousSocketChannel,
@@ -79,8 +79,8 @@
                 connection =
                     Connection(
                         fresh,
-                        HttpParser(Tuning.MAX_HEAD_BYTES, maxBody, response = true),
-                        ByteBuffer.allocate(Tuning.CLIENT_READ_BYTES),
+                        HttpParser(HttpConstants.MAX_HEAD_BYTES, maxBody, response = true),
+                        ByteBuffer.allocate(HttpConstants.CLIENT_READ_BYTES),
                         loop.nowMs(),
                     )
             }
@@ -131,7 +131,7 @@
         while (true) {
             val connection = idle.removeLastOrNull() ?: return null
             // A connection that has rested long may have been dropped on the way without a word.
-            if (loop.nowMs() - connection.usedAtMs < Tuning.CLIENT_IDLE_MS) return connection
+            if (loop.nowMs() - connection.usedAtMs < HttpConstants.CLIENT_IDLE_TIMEOUT_MS) return connection
             connection.channel.closeQuietly()
         }
     }
--- a/src/main/kotlin/mintfield/io/http/HttpServer.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpServer.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import mintfield.core.Tuning
+import mintfield.core.constants.HttpConstants
 import mintfield.io.json.Json
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
@@ -69,7 +69,7 @@
                 return start(address)
             } catch (e: IOException) {
                 if (tries++ % BIND_LOG_EVERY == 0) Log.error("$address cannot be listened on: ${e.message}; it is tried again")
-                delay(Tuning.BIND_RETRY_MS)
+                delay(HttpConstants.BIND_RETRY_MS)
             }
         }
     }
@@ -78,7 +78,7 @@
         val opened = AsynchronousServerSocketChannel.open(group)
         try {
             opened.setOption(StandardSocketOptions.SO_REUSEADDR, true)
-            return opened.bind(address, maxOf(Tuning.ACCEPT_BACKLOG, maxConnections))
+            return opened.bind(address, maxOf(HttpConstants.MIN_ACCEPT_BACKLOG, maxConnections))
         } catch (e: IOException) {
             opened.close()
             throw e
@@ -88,7 +88,7 @@
     /** Closes connections that rest for too long, or take too long over a message. */
     private suspend fun sweep() {
         while (true) {
-            delay(Tuning.SERVER_SWEEP_MS)
+            delay(HttpConstants.SERVER_TIMEOUT_CHECK_MS)
             val now = loop.nowMs()
             for (c in connections) if (now > c.closeAtMs) c.channel.closeQuietly()
         }
@@ -101,20 +101,20 @@
     private suspend fun acceptAll() {
         var inRow = 0
         while (true) {
-            val ahead = ++inRow % Tuning.ACCEPTS_IN_ROW != 0
+            val ahead = ++inRow % HttpConstants.MAX_CONSECUTIVE_ACCEPTS != 0
             val channel =
                 try {
                     listener.next { accept -> if (ahead) loop.ahead(accept) else accept() }
                 } catch (e: IOException) {
                     Log.debug("accept failed: $e")
-                    delay(Tuning.ACCEPT_PAUSE_MS)
+                    delay(HttpConstants.ACCEPT_BACKOFF_MS)
                     continue
                 }
             if (connections.size >= maxConnections) {
                 channel.closeQuietly()
                 continue
             }
-            val connection = Connection(channel, loop.nowMs() + Tuning.SERVER_IDLE_MS)
+            val connection = Connection(channel, loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS)
             connections.add(connection)
             scope.launch {
                 try {
@@ -131,8 +131,8 @@
     }
 
     private suspend fun serve(connection: Connection) {
-        val parser = HttpParser(Tuning.MAX_HEAD_BYTES, Tuning.MAX_BODY_BYTES, response = false)
-        val input = ByteBuffer.allocate(Tuning.SERVER_READ_BYTES)
+        val parser = HttpParser(HttpConstants.MAX_HEAD_BYTES, HttpConstants.MAX_BODY_BYTES, response = false)
+        val input = ByteBuffer.allocate(HttpConstants.SERVER_READ_BYTES)
         while (true) {
             val request =
                 try {
@@ -161,7 +161,7 @@
     ): HttpMessage? {
         parser.next()?.let { return it }
         // An idle connection may rest; one that has begun a message must finish it soon.
-        connection.closeAtMs = loop.nowMs() + Tuning.SERVER_IDLE_MS
+        connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS
         var begun = false
         while (true) {
             input.clear()
@@ -172,7 +172,7 @@
                 connection.closeAtMs = Long.MAX_VALUE
                 return it
             }
-            if (!begun) connection.closeAtMs = loop.nowMs() + Tuning.SERVER_SLOW_MS
+            if (!begun) connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_MESSAGE_TIMEOUT_MS
             begun = true
         }
     }
@@ -193,7 +193,7 @@
         response.allow?.let { head.append("\r\nAllow: ").append(it) }
         if (close) head.append("\r\nConnection: close")
         head.append("\r\n\r\n")
-        connection.closeAtMs = loop.nowMs() + Tuning.SERVER_SLOW_MS
+        connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_MESSAGE_TIMEOUT_MS
         connection.channel.sendAll(message(head, response.body))
     }
 
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -1,6 +1,7 @@
 package mintfield.io.store
 
-import mintfield.core.Tuning
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.constants.StoreConstants
 import mintfield.io.http.HttpClient
 import mintfield.io.http.Reply
 import mintfield.io.json.Json
@@ -114,7 +115,7 @@
         path: String,
         body: ByteArray? = null,
         urgent: Boolean = false,
-        timeoutMs: Long = Tuning.STORE_TIMEOUT_MS,
+        timeoutMs: Long = StoreConstants.STORE_TIMEOUT_MS,
         client: HttpClient = calls,
     ): StoreResult<Reply.Answer> {
         requests.acquire(1.0, urgent)
@@ -191,7 +192,7 @@
     ): StoreResult<Changes> {
         val client = if (waitMs > 0) watches else calls
         val path = "/watch?starts=$prefix&after=$after&waitMs=$waitMs"
-        val result = ask("GET", path, urgent = urgent, timeoutMs = Tuning.STORE_TIMEOUT_MS + waitMs, client = client)
+        val result = ask("GET", path, urgent = urgent, timeoutMs = StoreConstants.STORE_TIMEOUT_MS + waitMs, client = client)
         // Asked again it would be as long or longer: what it tells must be read by pages.
         if (result is StoreResult.Unknown && result.tooLarge) return StoreResult.Ok(Changes(0, emptyList(), tooOld = true))
         return result.map { a ->
@@ -212,7 +213,7 @@
 
     /** False if the lease has ended. */
     suspend fun renewLease(lease: Long): StoreResult<Boolean> =
-        ask("POST", "/leases/$lease/renew", ByteArray(0), urgent = true, timeoutMs = Tuning.LEADER_RENEW_MS).map { it.status == 200 }
+        ask("POST", "/leases/$lease/renew", ByteArray(0), urgent = true, timeoutMs = LeadershipConstants.LEASE_RENEWAL_INTERVAL_MS).map { it.status == 200 }
 
     suspend fun endLease(lease: Long): StoreResult<Unit> = ask("DELETE", "/leases/$lease", urgent = true).map { }
 
