--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -8,8 +8,8 @@
 import mintfield.io.json.Json
 import mintfield.io.loop.Log
 import mintfield.io.store.Entry
+import mintfield.io.store.FinalStateCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobPhaseCodec
@@ -77,7 +77,7 @@
         id: String,
         entry: Entry,
     ): KnownJob {
-        val state = Records.parseFinal(entry.data)
+        val state = FinalStateCodec.decode(entry.data).valueOrNull
         if (state == null) {
             Log.error("$id: its final state of revision ${entry.revision} cannot be read; it is kept and the job called pending")
             return KnownJob.Unreadable
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -18,10 +18,11 @@
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.loop.Log
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.Precondition
-import mintfield.io.store.Records
 import mintfield.io.worker.JobCodec
 
 /** Submissions of jobs: each is checked and, unless the job is known already, recorded as accepted. */
@@ -110,7 +111,7 @@
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): Response {
-        val json = Records.live(AcceptedJob(spec, 0, System.currentTimeMillis(), cancelled = false, compatibleTypes = compatibleTypes))
+        val json = JobRecordCodec.encode(AcceptedJob(spec, 0, System.currentTimeMillis(), cancelled = false, compatibleTypes = compatibleTypes))
         if (json.size > limits.lowest.valueBytes) return answers.existingOr(spec.id) { Response.error(400, "the description is too long") }
         return write(spec.id, KeyWrite.Put(Keys.live(spec.id), json)) { answers.accepted(spec.id) }
     }
@@ -118,7 +119,7 @@
     /** Writes that a job is accepted and, since one that it depends on is cancelled, cancelled. */
     private suspend fun acceptCancelled(id: String): Response {
         val cancelled = FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis())
-        return write(id, KeyWrite.Put(Keys.final(id), Records.final(cancelled))) {
+        return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
             replicator.ended(id, cancelled)
             answers.acceptedAsCancelled(id)
         }
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -4,8 +4,8 @@
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.JobPhase
 import mintfield.core.model.Shape
+import mintfield.io.store.FinalStateCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
@@ -50,7 +50,7 @@
     /** Reads the final state of a job that the current view does not show; false without an answer. */
     private suspend fun readFinalState(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        found.value?.let { Records.parseFinal(it.data) }?.let { replicator.ended(id, it) }
+        found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }?.let { replicator.ended(id, it) }
         return true
     }
 
--- a/src/main/kotlin/mintfield/app/api/UserApi.kt
+++ b/src/main/kotlin/mintfield/app/api/UserApi.kt
@@ -8,10 +8,11 @@
 import mintfield.core.model.StateLimitsInForce
 import mintfield.io.http.HttpMessage
 import mintfield.io.http.Response
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.Precondition
-import mintfield.io.store.Records
 import mintfield.io.worker.JobCodec
 
 /** What users ask, answered by any node from the store's truth. */
@@ -61,8 +62,8 @@
         val preconditions = listOf(Precondition(Keys.live(id), job.revision), Precondition(Keys.final(id), 0))
         val writes =
             listOf(
-                KeyWrite.Put(Keys.final(id), Records.final(cancelled)),
-                KeyWrite.Put(Keys.live(id), Records.cancelled(job, limits.lowest.valueBytes)),
+                KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled)),
+                KeyWrite.Put(Keys.live(id), JobRecordCodec.encodeCancelled(job, limits.lowest.valueBytes)),
             )
         return when (changes.write(preconditions, writes)) {
             WriteResult.APPLIED -> {
--- a/src/main/kotlin/mintfield/app/cli/PipelineCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/PipelineCommand.kt
@@ -2,9 +2,9 @@
 
 import mintfield.core.model.FinalState
 import mintfield.core.model.Settings
-import mintfield.io.json.bool
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
@@ -88,11 +88,11 @@
     private suspend fun read(id: String): Recorded? {
         if (!JobCodec.isId(id)) return Recorded.Nothing
         val final = store.get(Keys.final(id)) as? StoreResult.Ok ?: return null
-        final.value?.let { entry -> return Records.parseFinal(entry.data)?.let { Recorded.Ended(it) } ?: Recorded.Unreadable }
+        final.value?.let { entry -> return FinalStateCodec.decode(entry.data).valueOrNull?.let { Recorded.Ended(it) } ?: Recorded.Unreadable }
         val live = store.get(Keys.live(id)) as? StoreResult.Ok ?: return null
         val entry = live.value ?: return Recorded.Nothing
-        val job = Records.parseLive(entry.data, entry.revision) { emptyList() } ?: return Recorded.Unreadable
-        return Recorded.Unfinished(entry.data.bool("withdrawn") ?: false, job.spec.predecessors)
+        val job = JobRecordCodec.decode(entry.data, entry.revision) { emptyList() }.valueOrNull ?: return Recorded.Unreadable
+        return Recorded.Unfinished(job.cancelled, job.spec.predecessors)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -14,8 +14,11 @@
 import mintfield.io.loop.Log
 import mintfield.io.store.Entry
 import mintfield.io.store.LeaderKeys
-import mintfield.io.store.Records
+import mintfield.io.store.LearnedStateCodec
+import mintfield.io.store.RoundCodec
+import mintfield.io.store.ScaleOutIntentCodec
 import mintfield.io.store.StoreResult
+import mintfield.io.store.ZoneFenceCodec
 
 /** What a new leader reads before it plans anything: the recorded outputs of the steps of all unfinished jobs. */
 class Replay(
@@ -37,7 +40,7 @@
         // Before anybody is answered: what an earlier leader gave its word on must hold.
         for (e in readAll(keys.zoneFences)) {
             val key = e.key.removePrefix(keys.zoneFences)
-            Records.parseZoneFence(key, e.data)?.let { scheduler.zoneFencing.replay(it) } ?: scheduler.zoneFencing.replayUnreadable(key)
+            ZoneFenceCodec.decode(key, e.data).valueOrNull?.let { scheduler.zoneFencing.replay(it) } ?: scheduler.zoneFencing.replayUnreadable(key)
         }
         scheduler.zoneFencing.read = true
         while (services.types.isEmpty()) {
@@ -50,7 +53,7 @@
         val intents = readAll(keys.intents)
         val rounds = readAll(keys.rounds).sortedBy { it.revision }
         readMachines()
-        val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
+        val learnedState = readAll(keys.learnedState).map { LearnedStateCodec.decode(it.data) }
         // Abort and accept of other nodes may have come meanwhile; from here on the listener tells them.
         while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
         val now = loop.nowMs()
@@ -58,11 +61,11 @@
         replicator.live.values
             .filter { mine(it.spec) }
             .forEach { scheduler.jobChanged(it, now) }
-        intents.forEach { scheduler.replayIntent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
+        intents.forEach { scheduler.replayIntent(ScaleOutIntentCodec.decode(it.key.removePrefix(keys.intents), it.data)) }
         for (r in rounds) {
             var keep = false
             val record =
-                Records.parseRound(r.data) { job ->
+                RoundCodec.decode(r.data) { (job) ->
                     keep = true
                     Log.error("${r.key}: what the round of revision ${r.revision} records of ${job ?: "some job"} cannot be read; it is kept")
                     if (job == null) scheduler.replayUnreadableRound(now) else scheduler.replayUnreadableJob(job)
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -18,9 +18,10 @@
 import mintfield.core.model.FinalState
 import mintfield.io.loop.Log
 import mintfield.io.store.Change
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.Keys
 import mintfield.io.store.Page
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
@@ -182,7 +183,7 @@
             return if (data == null) JobChange.Removed(id, change.revision) else JobChange.Written(id, record(id, data, change.revision))
         }
         if (!change.key.startsWith(Keys.FINAL) || data == null) return null
-        val state = Records.parseFinal(data) ?: return null
+        val state = FinalStateCodec.decode(data).valueOrNull ?: return null
         return JobChange.Ended(change.key.removePrefix(Keys.FINAL), change.revision, state)
     }
 
@@ -207,7 +208,7 @@
     /** Reads the final state of the predecessor [id]; false without an answer. */
     private suspend fun resolve(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        val state = found.value?.let { Records.parseFinal(it.data) }
+        val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
         if (state != null) {
             replica.ended(id, state)
         } else if (id in dependencies.unresolved) {
@@ -226,7 +227,7 @@
     ): JobRecord {
         val job =
             try {
-                Records.parseLive(data, revision, recomputeCompatibleTypes)
+                JobRecordCodec.decode(data, revision, recomputeCompatibleTypes).valueOrNull
             } catch (e: RuntimeException) {
                 Log.debug("$id: $e")
                 null
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -6,13 +6,12 @@
 import mintfield.core.model.Settings
 import mintfield.core.upgrade.ControllerVersions
 import mintfield.core.upgrade.Generation
-import mintfield.io.json.long
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
+import mintfield.io.store.GenerationCodec
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Keys
 import mintfield.io.store.Precondition
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
@@ -44,9 +43,9 @@
         val key = Keys.version(settings.member)
         val entry = store.get(key)
         if (entry !is StoreResult.Ok) return false
-        if (entry.value?.data?.long(Records.GENERATION) == Generation.CURRENT.toLong()) return true
+        if (entry.value?.let { GenerationCodec.decode(it.data).valueOrNull } == Generation.CURRENT.toLong()) return true
         val precondition = Precondition(key, entry.value?.revision ?: 0)
-        val result = store.txn(listOf(precondition), listOf(KeyWrite.Put(key, Records.generation(Generation.CURRENT))))
+        val result = store.txn(listOf(precondition), listOf(KeyWrite.Put(key, GenerationCodec.encode(Generation.CURRENT))))
         return (result as? StoreResult.Ok)?.value is TxnOutcome.Applied
     }
 
@@ -63,7 +62,7 @@
         readAtMs = loop.nowMs()
         val page = (store.list(Keys.VERSIONS, null, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return
         for (entry in page.entries) {
-            val generation = entry.data.long(Records.GENERATION) ?: continue
+            val generation = GenerationCodec.decode(entry.data).valueOrNull ?: continue
             versions.recorded(entry.key.removePrefix(Keys.VERSIONS), generation.toInt())
         }
     }
--- a/src/main/kotlin/mintfield/io/store/JobIdSet.kt
+++ b/src/main/kotlin/mintfield/io/store/JobIdSet.kt
@@ -1,54 +1,65 @@
 package mintfield.io.store
 
 /**
- * A set of job ids in few characters, so that a long list of predecessors fits one value: the ids of one prefix and length as the
- * differences of their sorted numbers in base 36. `wk-000398` and `wk-000405` become `{"wk-6":"b2,7"}`.
+ * A compact form of a set of job ids, so that a long list of predecessors fits one value of the store. Ids that have the same prefix
+ * and number of digits form a group, which is written as the differences between its sorted numbers, in base 36: `wk-000398` and
+ * `wk-000405` become `{"wk-6":"b2,7"}`.
  */
 object JobIdSet {
+    /** Base of the written numbers. */
     private const val RADIX = 36
 
-    /** Digits that surely fit a Long; longer numbers are kept as they are. */
-    private const val MOST_DIGITS = 18
+    /** The most digits that any [Long] can take; an id with more is kept verbatim. */
+    private const val MAX_DIGITS = 18
 
-    /** The key of ids that are kept as they are. */
-    private const val WHOLE = ""
+    /** The group of ids that are kept verbatim. */
+    private const val VERBATIM = ""
 
-    /** The written form of [ids], by prefix and number of digits. */
+    /** Separates a prefix from the number of an id. */
+    private const val DASH = '-'
+    private const val SEPARATOR = ','
+
+    /** The written form of [ids], by group: prefix and number of digits. */
     fun encode(ids: Collection<String>): Map<String, String> =
         ids
             .distinct()
             .groupBy(::groupOf)
-            .mapValues { (group, members) -> if (group == WHOLE) members.joinToString(",") else differences(members) }
+            .mapValues { (group, members) -> if (group == VERBATIM) members.joinToString("$SEPARATOR") else differences(members) }
 
     private fun groupOf(id: String): String {
-        val digits = id.substringAfterLast('-')
-        return if (digits.length > MOST_DIGITS) WHOLE else id.removeSuffix(digits) + digits.length
+        val digits = id.substringAfterLast(DASH)
+        return if (digits.length > MAX_DIGITS) VERBATIM else id.removeSuffix(digits) + digits.length
     }
 
     private fun differences(ids: List<String>): String {
-        val numbers = ids.map { it.substringAfterLast('-').toLong() }.sorted()
-        return numbers.mapIndexed { i, number -> (if (i == 0) number else number - numbers[i - 1]).toString(RADIX) }.joinToString(",")
+        var previous = 0L
+        return ids.map { it.substringAfterLast(DASH).toLong() }.sorted().joinToString("$SEPARATOR") { number ->
+            val difference = number - previous
+            previous = number
+            difference.toString(RADIX)
+        }
     }
 
-    /** The ids that [groups] stand for; null if they cannot be read. */
-    fun decode(groups: Map<String, Any?>): List<String>? {
-        val ids = ArrayList<String>()
-        for ((group, text) in groups) {
-            val parts = (text as? String ?: return null).split(',')
-            if (group == WHOLE) ids.addAll(parts) else ids.addAll(decodeGroup(group, parts) ?: return null)
+    /** The ids that [groups] hold, in the order of the groups. */
+    fun decode(groups: Map<String, Any?>): Decoded<List<String>> =
+        decoding {
+            val ids = ArrayList<String>()
+            for ((group, text) in groups) {
+                val parts = (text as? String).orInvalid(group, "a string").split(SEPARATOR)
+                if (group == VERBATIM) ids.addAll(parts) else ids.addAll(readGroup(group, parts))
+            }
+            ids
         }
-        return ids
-    }
 
-    private fun decodeGroup(
+    private fun readGroup(
         group: String,
-        parts: List<String>,
-    ): List<String>? {
-        val prefix = group.substringBeforeLast('-') + "-"
-        val digits = group.substringAfterLast('-').toIntOrNull() ?: return null
+        differences: List<String>,
+    ): List<String> {
+        val prefix = group.substringBeforeLast(DASH) + DASH
+        val digits = group.substringAfterLast(DASH).toIntOrNull().orInvalid(group, "a number of digits in the name")
         var number = 0L
-        return parts.map { part ->
-            number += part.toLongOrNull(RADIX) ?: return null
+        return differences.map { difference ->
+            number += difference.toLongOrNull(RADIX).orInvalid(group, "numbers in base $RADIX")
             prefix + number.toString().padStart(digits, '0')
         }
     }
--- /dev/null
+++ b/src/main/kotlin/mintfield/io/store/JobRecordCodec.kt
@@ -0,0 +1,118 @@
+package mintfield.io.store
+
+import com.fasterxml.jackson.core.JsonGenerator
+import mintfield.core.model.AcceptedJob
+import mintfield.core.model.JobSpec
+import mintfield.core.steps.JobSteps
+import mintfield.io.json.Json
+import mintfield.io.json.asList
+import mintfield.io.json.asMap
+import mintfield.io.json.bool
+import mintfield.io.json.long
+import mintfield.io.worker.JobCodec
+
+/**
+ * The record of an accepted job that has not ended: its specification, the time of its acceptance, whether it is cancelled, and the
+ * recorded outputs of its first steps (see [JobSteps.recorded]).
+ */
+object JobRecordCodec {
+    private const val INDEPENDENT_SPEC = "spec"
+
+    /**
+     * The field of a specification with predecessors. A version that does not know of predecessors finds no specification and
+     * starts nothing; by the usual name it would start the job at once.
+     */
+    private const val DEPENDENT_SPEC = "dependent"
+
+    /** The predecessors, in the form of [JobIdSet]. */
+    private const val PREDECESSORS = "awaits"
+
+    /** When the job was accepted, time of day in milliseconds. */
+    private const val ACCEPTED_AT_MS = "at"
+
+    /** Present, and true, only if the job is cancelled. */
+    private const val CANCELLED = "withdrawn"
+
+    /** The machine types that could hold a task when the job was accepted. */
+    private const val COMPATIBLE_TYPES = "fits"
+
+    /** Stands for a name that was left out of a record. */
+    private const val OMITTED_NAME = "-"
+
+    /** The record of [job], as JSON. */
+    fun encode(job: AcceptedJob): ByteArray =
+        Json.obj {
+            val dependent = job.spec.predecessors.isNotEmpty()
+            writeFieldName(if (dependent) DEPENDENT_SPEC else INDEPENDENT_SPEC)
+            JobCodec.write(this, job.spec.copy(predecessors = emptyList()))
+            if (dependent) writePredecessors(this, job.spec.predecessors)
+            writeNumberField(ACCEPTED_AT_MS, job.acceptedAtMs)
+            if (job.cancelled) writeBooleanField(CANCELLED, true)
+            if (JobSteps.COMPATIBLE_TYPES in JobSteps.recorded) {
+                writeArrayFieldStart(COMPATIBLE_TYPES)
+                job.compatibleTypes.forEach { writeString(it) }
+                writeEndArray()
+            }
+        }
+
+    private fun writePredecessors(
+        to: JsonGenerator,
+        predecessors: List<String>,
+    ) {
+        to.writeObjectFieldStart(PREDECESSORS)
+        JobIdSet.encode(predecessors).forEach { (group, numbers) -> to.writeStringField(group, numbers) }
+        to.writeEndObject()
+    }
+
+    /**
+     * The record of [job] with the mark that it is cancelled. A job that was accepted under higher limits may have a record of more
+     * than [maxBytes]; then what only a start of its tasks needs is omitted, since they never start again.
+     */
+    fun encodeCancelled(
+        job: AcceptedJob,
+        maxBytes: Int,
+    ): ByteArray {
+        val whole = encode(job.copy(cancelled = true))
+        if (whole.size <= maxBytes) return whole
+        val spec = job.spec.copy(jobClass = OMITTED_NAME, image = OMITTED_NAME, types = null, zone = null, predecessors = emptyList())
+        return encode(job.copy(spec = spec, cancelled = true, compatibleTypes = emptyList()))
+    }
+
+    /**
+     * The job that [data] records, with its [revision] in the store. [recomputeCompatibleTypes] is asked for the compatible machine
+     * types if the record does not hold them.
+     */
+    fun decode(
+        data: Map<String, Any?>,
+        revision: Long,
+        recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
+    ): Decoded<AcceptedJob> =
+        decoding {
+            val compatibleTypes = data[COMPATIBLE_TYPES].asList()?.filterIsInstance<String>()
+            val job =
+                AcceptedJob(
+                    spec = readSpec(data),
+                    revision = revision,
+                    acceptedAtMs = data.long(ACCEPTED_AT_MS) ?: 0,
+                    cancelled = data.bool(CANCELLED) ?: false,
+                    compatibleTypes = compatibleTypes.orEmpty(),
+                )
+            if (compatibleTypes == null) job.copy(compatibleTypes = recomputeCompatibleTypes(job)) else job
+        }
+
+    private fun readSpec(data: Map<String, Any?>): JobSpec {
+        val independent = INDEPENDENT_SPEC in data
+        val spec =
+            when (val parsed = JobCodec.parse(data[INDEPENDENT_SPEC] ?: data[DEPENDENT_SPEC])) {
+                is JobCodec.Parsed.Valid -> parsed.spec
+                is JobCodec.Parsed.Invalid -> throw InvalidField(if (independent) INDEPENDENT_SPEC else DEPENDENT_SPEC, parsed.reason)
+            }
+        return if (independent) spec else spec.copy(predecessors = readPredecessors(data))
+    }
+
+    /** Predecessors that cannot be read make the record invalid: the job must not start while it is unknown what it depends on. */
+    private fun readPredecessors(data: Map<String, Any?>): List<String> {
+        val groups = data[PREDECESSORS].asMap().orInvalid(PREDECESSORS, "an object")
+        return JobIdSet.decode(groups).valueOrThrow()
+    }
+}
--- a/src/main/kotlin/mintfield/io/store/LeaderKeys.kt
+++ b/src/main/kotlin/mintfield/io/store/LeaderKeys.kt
@@ -1,31 +1,33 @@
 package mintfield.io.store
 
-/** Names of the keys that a leader has in the store: those of the only one, or of the leader of [shard]. */
+/** The keys of the store that belong to one leader: the leader of [shard], or the only one if machines are not sharded. */
 class LeaderKeys(
     shard: String? = null,
 ) {
     private val prefix = if (shard == null) "mf/" else "$SHARDS$shard/"
 
-    /** The leader: hangs on its lease; its revision is the term. */
+    /** The leader key. It is attached to the leader's lease, and its revision is the term. */
     val leader = prefix + "leader"
 
-    /** Rounds of plans and results, each of many jobs. */
+    /** Prefix of the round records. */
     val rounds = prefix + "p/"
 
-    /** Rental intents, by idempotency key. */
+    /** Prefix of the intents to scale out. */
     val intents = prefix + "i/"
 
-    /** Machines that a leader does not answer any more. */
+    /** Prefix of the zone fences. */
     val zoneFences = prefix + "d/"
 
-    /** What leaders have learned, for their successors. */
+    /** The first block of the learned state, and prefix of the others. */
     val learnedState = prefix + "hints"
 
+    /** The key of the round record [key]. */
     fun round(key: String) = rounds + key
 
+    /** The key of the intent to scale out with this [idempotencyKey]. */
     fun intent(idempotencyKey: String) = intents + idempotencyKey
 
-    /** The first block of hints has the name that a fleet of one block has always used. */
+    /** The key of block [block] of the learned state. The first one has no number, as a small fleet has only one. */
     fun learnedState(block: Int) = if (block == 0) learnedState else "$learnedState/$block"
 
     private companion object {
