--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -2,7 +2,7 @@
 
 import mintfield.app.leader.Leader
 import mintfield.app.sharding.ShardingContext
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.HeartbeatCodec
 
 /** This node's parts in the leaderships that there are: the only one, or one for each share of the machines. */
 class LeaderElections(
@@ -23,7 +23,7 @@
     /** The leadership that a worker's heartbeat concerns; null if the machine has no owner. */
     fun forHeartbeat(body: ByteArray): LeaderElection? {
         if (sharding == null) return members.single()
-        val machine = WorkerCodec.heartbeat(body)?.machine ?: return null
+        val machine = HeartbeatCodec.decode(body)?.machine ?: return null
         return sharding.shardFor(machine)?.let(::member)
     }
 
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -15,7 +15,8 @@
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.loop.EventLoop
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.CommandCodec
+import mintfield.io.worker.HeartbeatReader
 
 /** Workers' reports: answered by a leader here, relayed to the one elsewhere, or sent on. */
 class HeartbeatEndpoint(
@@ -27,14 +28,14 @@
     private val probe = IsolatedLeaderProbe(Timings(settings).redirectIntervalMs)
     private val peerRedirects = PeerRedirects()
     private val relaySelector = RelayPeerSelector(settings.peers.map { it.member } + settings.member, settings.member)
-    private val reader = WorkerCodec.Reader(maxOf(settings.maxSockets, settings.operator.fleetMachines ?: 0))
+    private val reader = HeartbeatReader(maxOf(settings.maxSockets, settings.operator.fleetMachines ?: 0))
 
     /** Answers a heartbeat that came straight from its worker. */
     suspend fun receive(body: ByteArray): Response {
         val member = elections.forHeartbeat(body) ?: return Response(421, Json.obj { })
         val leader = member.leader ?: return relayToLeader(member, body)
         if (peers.isolation.redirectsWorkers(leader.leaseLeftMs(), loop.nowMs())) {
-            val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
+            val heartbeat = reader.read(body) ?: return Response.error(400, "not a report")
             if (probe.shouldRedirect(heartbeat.machine, loop.nowMs())) return Response(421, Json.obj { })
         }
         return answer(leader, body, direct = true)
@@ -48,7 +49,7 @@
         body: ByteArray,
         direct: Boolean = false,
     ): Response {
-        val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
+        val heartbeat = reader.read(body) ?: return Response.error(400, "not a report")
         if (direct) {
             leader.directHeartbeat(heartbeat)
             val place = relayPeer()
@@ -74,7 +75,7 @@
                 // It may have given up while the heartbeat waited.
                 if (leader !in elections.leaders) return Response(421, Json.obj { })
                 leader.wake()
-                Response(200, WorkerCodec.commands(answer.term, null, answer.commands))
+                Response(200, CommandCodec.encode(answer.term, null, answer.commands))
             }
         }
     }
@@ -118,7 +119,7 @@
         leader: String,
         body: ByteArray,
     ): Response {
-        val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
+        val heartbeat = reader.read(body) ?: return Response.error(400, "not a report")
         val to = peerRedirects.offer(heartbeat.machine, peers.reachablePeerExcept(leader), loop.nowMs())
         return Response(421, Json.obj { to?.let { writeStringField("steward", it) } })
     }
@@ -126,7 +127,7 @@
     /** Answers a heartbeat that came by way of a peer; it is not passed on any further. */
     suspend fun relayed(body: ByteArray): Response {
         val leader = elections.forHeartbeat(body)?.leader ?: return Response(503, Json.obj { })
-        val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
+        val heartbeat = reader.read(body) ?: return Response.error(400, "not a report")
         if (relayPeer() == null && leader.shouldConnectDirectly(heartbeat)) return Response(421, Json.obj { })
         return answer(leader, body)
     }
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -9,7 +9,8 @@
 import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.CommandCodec
+import mintfield.io.worker.HeartbeatCodec
 
 /** Sends commands to workers without waiting for their heartbeats, a bounded number at a time. */
 class DirectCommandSender(
@@ -38,10 +39,10 @@
 
     private suspend fun send(call: DirectCall) {
         val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
-        val body = WorkerCodec.commands(call.term, call.incarnation, call.commands)
+        val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
         when (val r = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
             is Reply.Answer -> {
-                val heartbeat = if (r.status == 200 || r.status == 409) WorkerCodec.heartbeat(r.body) else null
+                val heartbeat = if (r.status == 200 || r.status == 409) HeartbeatCodec.decode(r.body) else null
                 if (r.status == 409) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
                 scheduler.directAnswered(call, heartbeat, loop.nowMs())
                 answered()
--- /dev/null
+++ b/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
@@ -0,0 +1,172 @@
+package mintfield.io.worker
+
+import com.fasterxml.jackson.core.JsonParser
+import com.fasterxml.jackson.core.JsonProcessingException
+import com.fasterxml.jackson.core.JsonToken
+import mintfield.core.model.ExitReason
+import mintfield.core.model.Heartbeat
+import mintfield.core.model.TaskId
+import mintfield.core.model.TaskState
+import mintfield.core.model.TaskStatus
+import mintfield.io.json.Json
+
+/**
+ * Heartbeats of workers. They are by far the most frequent messages, so they are read as a stream, without a tree and without any
+ * object besides the result. Words of later versions are ignored, or taken for the most cautious of the known ones.
+ */
+object HeartbeatCodec {
+    private const val MACHINE = "plot"
+    private const val ADDRESS = "address"
+    private const val TYPE = "breed"
+    private const val ZONE = "field"
+    private const val SPOT = "gleaning"
+    private const val INCARNATION = "season"
+    private const val SEQUENCE = "tally"
+    private const val TERM_SEEN = "staff"
+
+    /** Seconds until the cloud takes the machine away; null without a notice. */
+    private const val TERMINATION_NOTICE_S = "reclaimS"
+    private const val TASKS = "pieces"
+    private const val TASK = "piece"
+    private const val ATTEMPT = "sowing"
+    private const val STATE = "stage"
+    private const val EXIT_REASON = "cause"
+
+    private const val STATE_PULLING = "pulling"
+
+    /** Of a task of a gang: its image is there, and it waits for the others. */
+    private const val STATE_GATHERING = "gathering"
+    private const val STATE_SAVING = "saving"
+    private const val STATE_ENDED = "ended"
+
+    private const val REASON_DONE = "done"
+    private const val REASON_STOPPED = "stopped"
+    private const val REASON_ERROR = "error"
+    private const val REASON_NO_ROOM = "no_room"
+    private const val REASON_IN_USE = "in_use"
+    private const val REASON_NO_SUCH = "no_such"
+    private const val REASON_MATES_GONE = "mates_gone"
+    private const val REASON_INCOMPLETE = "incomplete"
+
+    /** Stands for a number that a heartbeat does not give. */
+    private const val MISSING = -1L
+
+    /** The position of a list of tasks that is not to be cached. */
+    private const val NOT_CACHEABLE = -1
+
+    /** The heartbeat in [bytes]; null if they are not JSON or lack the machine, the incarnation or the sequence. */
+    fun decode(bytes: ByteArray): Heartbeat? = decode(bytes, null)
+
+    /** The same; a list of tasks that is in [cache] is not read again. */
+    internal fun decode(
+        bytes: ByteArray,
+        cache: TaskListCache?,
+    ): Heartbeat? =
+        try {
+            Json.factory.createParser(bytes).use { parser -> if (parser.nextToken() == JsonToken.START_OBJECT) read(parser, bytes, cache) else null }
+        } catch (_: JsonProcessingException) {
+            null
+        }
+
+    /** Reads the fields into local variables: an object that holds them would be one more for each heartbeat. */
+    private fun read(
+        parser: JsonParser,
+        bytes: ByteArray,
+        cache: TaskListCache?,
+    ): Heartbeat? {
+        var machine: String? = null
+        var address = ""
+        var type = ""
+        var zone = ""
+        var spot = false
+        var incarnation = MISSING
+        var sequence = MISSING
+        var termSeen = 0L
+        var terminationNoticeS: Double? = null
+        var tasks: List<TaskStatus> = emptyList()
+        var cacheableFrom = NOT_CACHEABLE
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            val field = parser.currentName()
+            val token = parser.nextToken()
+            if (field == TASKS && token == JsonToken.START_ARRAY) {
+                cacheableFrom = parser.currentTokenLocation().byteOffset.toInt()
+                val cached = cache?.find(machine, bytes, cacheableFrom)
+                tasks = cached ?: readTasks(parser)
+                // The rest is the same as that of an earlier heartbeat, in which no field followed the tasks.
+                if (cached != null) break
+                continue
+            }
+            cacheableFrom = NOT_CACHEABLE
+            when (field) {
+                MACHINE -> machine = parser.valueAsString
+                ADDRESS -> address = readText(parser)
+                TYPE -> type = readText(parser)
+                ZONE -> zone = readText(parser)
+                SPOT -> spot = parser.valueAsBoolean
+                INCARNATION -> incarnation = parser.valueAsLong
+                SEQUENCE -> sequence = parser.valueAsLong
+                TERM_SEEN -> termSeen = parser.valueAsLong
+                TERMINATION_NOTICE_S -> terminationNoticeS = readNumberOrNull(parser, token)
+                else -> parser.skipChildren()
+            }
+        }
+        if (parser.currentToken() == JsonToken.END_OBJECT && cacheableFrom != NOT_CACHEABLE) cache?.store(machine, bytes, cacheableFrom, tasks)
+        if (machine == null || incarnation < 0 || sequence < 0) return null
+        return Heartbeat(machine, address, type, zone, spot, incarnation, sequence, termSeen, terminationNoticeS, tasks)
+    }
+
+    private fun readText(parser: JsonParser): String = parser.valueAsString ?: ""
+
+    private fun readNumberOrNull(
+        parser: JsonParser,
+        token: JsonToken?,
+    ): Double? = if (token == JsonToken.VALUE_NULL) null else parser.valueAsDouble
+
+    private fun readTasks(parser: JsonParser): List<TaskStatus> {
+        val tasks = ArrayList<TaskStatus>()
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
+            readTask(parser)?.let { tasks.add(it) }
+        }
+        return tasks
+    }
+
+    private fun readTask(parser: JsonParser): TaskStatus? {
+        var task: TaskId? = null
+        var attempt = 0L
+        var state = TaskState.RUNNING
+        var cause: ExitReason? = null
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            val field = parser.currentName()
+            parser.nextToken()
+            when (field) {
+                TASK -> task = TaskId.parse(readText(parser))
+                ATTEMPT -> attempt = parser.valueAsLong
+                STATE -> state = stateOf(parser.valueAsString)
+                EXIT_REASON -> cause = exitReasonOf(parser.valueAsString)
+                else -> parser.skipChildren()
+            }
+        }
+        return task?.let { TaskStatus(it, attempt, state, cause) }
+    }
+
+    private fun stateOf(word: String?): TaskState =
+        when (word) {
+            STATE_PULLING, STATE_GATHERING -> TaskState.PULLING
+            STATE_SAVING -> TaskState.CHECKPOINTING
+            STATE_ENDED -> TaskState.ENDED
+            else -> TaskState.RUNNING
+        }
+
+    private fun exitReasonOf(word: String?): ExitReason? =
+        when (word) {
+            null -> null
+            REASON_DONE -> ExitReason.DONE
+            REASON_STOPPED -> ExitReason.STOPPED
+            REASON_ERROR -> ExitReason.ERROR
+            REASON_NO_ROOM -> ExitReason.INSUFFICIENT_RESOURCES
+            REASON_IN_USE -> ExitReason.ALREADY_RUNNING
+            REASON_NO_SUCH -> ExitReason.UNKNOWN_TASK
+            REASON_MATES_GONE, REASON_INCOMPLETE -> ExitReason.GANG_INCOMPLETE
+            else -> ExitReason.UNKNOWN
+        }
+}
