--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -102,7 +102,7 @@
         known: KnownJob,
     ): Response =
         when (val newest = replicator.known(id) as? KnownJob.Ended ?: known) {
-            is KnownJob.Ended -> state(id, newest.state.stage, newest.state.tasks, status = 200)
+            is KnownJob.Ended -> state(id, newest.state.phase, newest.state.tasks, status = 200)
             is KnownJob.Live -> if (isCancelled(newest)) state(id, JobPhase.CANCELLED, doneTasks(id), status = 200) else unfinished(id, status = 200)
             KnownJob.Unreadable -> unfinished(id, status = 200)
         }
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -43,7 +43,7 @@
 
     /** Accepts a job, or tells the state of one that was accepted before. */
     suspend fun submit(request: HttpMessage): Response =
-        when (val parsed = JobCodec.parse(Json.parse(request.body))) {
+        when (val parsed = JobCodec.parse(Json.parseObject(request.body))) {
             is JobCodec.Parsed.Invalid -> {
                 val refusal = Response.error(400, parsed.reason)
                 if (parsed.id == null) refusal else answers.existingOr(parsed.id) { refusal }
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -56,13 +56,13 @@
 
     private fun isService(job: KnownJob) = job is KnownJob.Live && job.job.spec.shape == Shape.SERVICE
 
-    private fun isDone(job: KnownJob) = job is KnownJob.Ended && job.state.stage == JobPhase.DONE
+    private fun isDone(job: KnownJob) = job is KnownJob.Ended && job.state.phase == JobPhase.DONE
 
     private fun isCancelled(
         id: String,
         job: KnownJob,
     ) = when (job) {
-        is KnownJob.Ended -> job.state.stage == JobPhase.CANCELLED
+        is KnownJob.Ended -> job.state.phase == JobPhase.CANCELLED
         is KnownJob.Live -> job.job.cancelled || replicator.dependencies.isCancelledByDependency(id)
         KnownJob.Unreadable -> false
     }
--- a/src/main/kotlin/mintfield/app/cli/PipelineCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/PipelineCommand.kt
@@ -76,7 +76,7 @@
 
     private fun describe(recorded: Recorded): String =
         when (recorded) {
-            is Recorded.Ended -> JobPhaseCodec.write(recorded.state.stage)
+            is Recorded.Ended -> JobPhaseCodec.write(recorded.state.phase)
             is Recorded.Unfinished -> {
                 val state = if (recorded.cancelled) "withdrawn, its tasks are being stopped" else "unfinished"
                 if (recorded.predecessors.isEmpty()) state else "$state, submitted to start after ${recorded.predecessors.size} others:"
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
@@ -165,7 +165,7 @@
         node: Node,
         final: FinalState,
     ) {
-        node.state = if (final.stage == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED
+        node.state = if (final.phase == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED
         node.endedAtMs = final.endedAtMs
     }
 
@@ -193,7 +193,7 @@
         if (node.final) return
         version++
         node.endedAtMs = final.endedAtMs
-        change(node, if (final.stage == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED)
+        change(node, if (final.phase == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED)
     }
 
     /** There is neither a record nor a final state of [id], which was accepted once: its successors wait until there is. */
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/model/LogFormat.kt
@@ -0,0 +1,4 @@
+package mintfield.core.model
+
+/** The form of log lines: text, or one JSON object a line. */
+enum class LogFormat { PLAIN, JSON }
--- a/src/main/kotlin/mintfield/io/http/HttpClient.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpClient.kt
@@ -3,7 +3,6 @@
 import kotlinx.coroutines.CancellationException
 import mintfield.core.constants.HttpConstants
 import mintfield.io.json.Json
-import mintfield.io.json.asMap
 import mintfield.io.loop.EventLoop
 import java.io.IOException
 import java.net.InetSocketAddress
@@ -18,7 +17,7 @@
         val status: Int,
         val body: ByteArray,
     ) : Reply {
-        val json: Map<String, Any?> by lazy(LazyThreadSafetyMode.NONE) { Json.parse(body).asMap() ?: emptyMap() }
+        val json: Map<String, Any?> by lazy(LazyThreadSafetyMode.NONE) { Json.parseObject(body) ?: emptyMap() }
     }
 
     /** No answer. Only with [sent] false is it certain that the request was not and will not be executed. */
--- a/src/main/kotlin/mintfield/io/json/Json.kt
+++ b/src/main/kotlin/mintfield/io/json/Json.kt
@@ -8,16 +8,38 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigInteger
 
-/** JSON by way of Jackson's streaming layer: no reflection, few classes. */
+/** The bytes are not exactly one JSON value, or one that is nested too deeply. The message says what is wrong with them. */
+class NotJsonException(
+    message: String,
+    cause: Throwable? = null,
+) : Exception(message, cause)
+
+/**
+ * Reading and writing of JSON by Jackson's streaming layer, which needs no reflection and few classes. A value is read as a tree of maps,
+ * lists, strings, numbers, booleans and nulls; an integer is a [Long], or a [BigInteger] if it is too large for one.
+ */
 object Json {
+    /** Makes the parsers and generators. */
     val factory: JsonFactory = JsonFactory()
 
+    /** Initial size of the buffer for written JSON, in bytes. */
+    @PublishedApi
+    internal const val INITIAL_BYTES = 256
+
+    /** Values nested more deeply than this are refused, as reading them takes stack in proportion. */
+    private const val MAX_DEPTH = 32
+
+    /** Up to here, each whole number is a [Double] of its own. */
+    private const val MAX_WHOLE_DOUBLE = 1e15
+
+    /** The bytes, in UTF-8, of the value that [block] writes. */
     inline fun write(block: (JsonGenerator) -> Unit): ByteArray {
-        val out = ByteArrayOutputStream(256)
+        val out = ByteArrayOutputStream(INITIAL_BYTES)
         factory.createGenerator(out).use { block(it) }
         return out.toByteArray()
     }
 
+    /** The bytes, in UTF-8, of an object with the fields that [block] writes. */
     inline fun obj(block: JsonGenerator.() -> Unit): ByteArray =
         write {
             it.writeStartObject()
@@ -25,107 +47,83 @@
             it.writeEndObject()
         }
 
-    /** The tree that begins at the parser's current token; any format that Jackson streams. */
-    fun tree(p: JsonParser): Any? = value(p, 0)
+    /** The tree that begins at the current token of [parser], of any format that Jackson streams. */
+    fun tree(parser: JsonParser): Any? = value(parser, depth = 0)
 
-    /** A plain tree of maps, lists, strings, numbers, booleans and nulls; null when [bytes] are not JSON. */
+    /** The tree of the only value in [bytes]. Throws [NotJsonException] if they hold anything else. */
     fun parse(bytes: ByteArray): Any? =
         try {
-            factory.createParser(bytes).use { p ->
-                p.nextToken() ?: return NotJson
-                val tree = value(p, 0)
-                if (p.nextToken() == null) tree else NotJson
+            factory.createParser(bytes).use { parser ->
+                if (parser.nextToken() == null) throw NotJsonException("no value")
+                val tree = tree(parser)
+                if (parser.nextToken() != null) throw NotJsonException("more than one value")
+                tree
             }
-        } catch (_: JsonProcessingException) {
-            NotJson
-        } catch (_: TooDeep) {
-            NotJson
+        } catch (e: JsonProcessingException) {
+            throw NotJsonException(e.originalMessage ?: "not JSON", e)
         }
 
-    @Suppress("UNCHECKED_CAST")
-    fun parseObject(bytes: ByteArray): Map<String, Any?>? = parse(bytes) as? Map<String, Any?>
-
-    /** Stands for bytes that are not one JSON value. */
-    object NotJson
-
-    private class TooDeep : Exception()
-
-    private const val MAX_DEPTH = 32
+    /** The object in [bytes]; null if they hold anything else. */
+    fun parseObject(bytes: ByteArray): Map<String, Any?>? =
+        try {
+            parse(bytes).asMap()
+        } catch (_: NotJsonException) {
+            null
+        }
 
     private fun value(
-        p: JsonParser,
+        parser: JsonParser,
         depth: Int,
     ): Any? {
-        if (depth > MAX_DEPTH) throw TooDeep()
-        return when (p.currentToken()) {
-            JsonToken.START_OBJECT -> {
-                val map = HashMap<String, Any?>()
-                while (p.nextToken() == JsonToken.FIELD_NAME) {
-                    val name = p.currentName()
-                    p.nextToken()
-                    map[name] = value(p, depth + 1)
-                }
-                map
-            }
-
-            JsonToken.START_ARRAY -> {
-                val list = ArrayList<Any?>()
-                while (p.nextToken() != JsonToken.END_ARRAY) list.add(value(p, depth + 1))
-                list
-            }
-
-            JsonToken.VALUE_STRING -> {
-                p.text
-            }
-
-            JsonToken.VALUE_TRUE -> {
-                true
-            }
-
-            JsonToken.VALUE_FALSE -> {
-                false
-            }
-
-            JsonToken.VALUE_NUMBER_INT -> {
-                if (p.numberType == JsonParser.NumberType.BIG_INTEGER) p.bigIntegerValue else p.longValue
-            }
-
-            JsonToken.VALUE_NUMBER_FLOAT -> {
-                p.doubleValue
-            }
+        if (depth > MAX_DEPTH) throw NotJsonException("nested more than $MAX_DEPTH levels deep")
+        return when (parser.currentToken()) {
+            JsonToken.START_OBJECT -> fields(parser, depth)
+            JsonToken.START_ARRAY -> elements(parser, depth)
+            JsonToken.VALUE_STRING -> parser.text
+            JsonToken.VALUE_TRUE -> true
+            JsonToken.VALUE_FALSE -> false
+            JsonToken.VALUE_NUMBER_INT -> if (parser.numberType == JsonParser.NumberType.BIG_INTEGER) parser.bigIntegerValue else parser.longValue
+            JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
+            else -> null
+        }
+    }
 
-            else -> {
-                null
-            }
+    private fun fields(
+        parser: JsonParser,
+        depth: Int,
+    ): Map<String, Any?> {
+        val fields = HashMap<String, Any?>()
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            val name = parser.currentName()
+            parser.nextToken()
+            fields[name] = value(parser, depth + 1)
         }
+        return fields
     }
 
-    fun asLong(v: Any?): Long? =
-        when (v) {
-            is Long -> v
-            is Double -> if (v == Math.rint(v) && Math.abs(v) < 1e15) v.toLong() else null
+    private fun elements(
+        parser: JsonParser,
+        depth: Int,
+    ): List<Any?> {
+        val elements = ArrayList<Any?>()
+        while (parser.nextToken() != JsonToken.END_ARRAY) elements.add(value(parser, depth + 1))
+        return elements
+    }
+
+    /** A number of a tree as an integer; null if it is none or its value is not a whole number. */
+    fun asLong(value: Any?): Long? =
+        when (value) {
+            is Long -> value
+            is Double -> if (value == Math.rint(value) && Math.abs(value) < MAX_WHOLE_DOUBLE) value.toLong() else null
             else -> null
         }
 
-    fun asDouble(v: Any?): Double? =
-        when (v) {
-            is Long -> v.toDouble()
-            is Double -> v.takeIf { it.isFinite() }
-            is BigInteger -> v.toDouble().takeIf { it.isFinite() }
+    /** A number of a tree as a finite floating-point number; null if it is none. */
+    fun asDouble(value: Any?): Double? =
+        when (value) {
+            is Long -> value.toDouble()
+            is Double -> value.takeIf { it.isFinite() }
+            is BigInteger -> value.toDouble().takeIf { it.isFinite() }
             else -> null
         }
 }
-
-@Suppress("UNCHECKED_CAST")
-fun Any?.asMap(): Map<String, Any?>? = this as? Map<String, Any?>
-
-@Suppress("UNCHECKED_CAST")
-fun Any?.asList(): List<Any?>? = this as? List<Any?>
-
-fun Map<String, Any?>.string(name: String): String? = this[name] as? String
-
-fun Map<String, Any?>.long(name: String): Long? = Json.asLong(this[name])
-
-fun Map<String, Any?>.double(name: String): Double? = Json.asDouble(this[name])
-
-fun Map<String, Any?>.bool(name: String): Boolean? = this[name] as? Boolean
--- a/src/main/kotlin/mintfield/io/store/FinalStateCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/FinalStateCodec.kt
@@ -20,7 +20,7 @@
     /** The record of [state], as JSON. */
     fun encode(state: FinalState): ByteArray =
         Json.obj {
-            writeStringField(PHASE, JobPhaseCodec.write(state.stage))
+            writeStringField(PHASE, JobPhaseCodec.write(state.phase))
             writeNumberField(DONE_TASKS, state.tasks)
             if (state.endedAtMs > 0) writeNumberField(ENDED_AT_MS, state.endedAtMs)
         }
