--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -17,8 +17,8 @@
 import mintfield.io.store.TxnOutcome
 
 /**
- * Records this controller's generation in the store, once in the life of the cluster, and reads those of the others when
- * something depends on them and not all are known; in the ordinary course nothing more is asked.
+ * Publishes this controller's generation in the store and tells whether all controllers have the generation that something needs. The
+ * store is read only while a generation is asked for that some are not known to have. Runs on the event loop.
  */
 class VersionRecords(
     private val settings: Settings,
@@ -26,30 +26,30 @@
     private val loop: EventLoop,
 ) {
     private val versions = ControllerVersions(settings.peers.map { it.member })
-    private var readAtMs = Long.MIN_VALUE / 2
+    private var readAtMs = NEVER
 
-    /** A peer's note names its generation. */
+    /** A peer status of the controller [member] names its [generation]. */
     fun announced(
         member: String,
         generation: Int,
     ) = versions.announced(member, generation)
 
-    /** Records the generation of this program, unless that has been done; tries until it has succeeded. */
+    /** Records the generation of this program in the store, unless it is there already; retries until that has succeeded. */
     suspend fun record() {
-        while (!recordOnce()) delay(UserApiConstants.VERSION_RETRY_MS)
+        while (!tryRecord()) delay(UserApiConstants.VERSION_RETRY_MS)
     }
 
-    private suspend fun recordOnce(): Boolean {
+    private suspend fun tryRecord(): Boolean {
         val key = Keys.version(settings.member)
-        val entry = store.get(key)
-        if (entry !is StoreResult.Ok) return false
-        if (entry.value?.let { GenerationCodec.decode(it.data).valueOrNull } == Generation.CURRENT.toLong()) return true
-        val precondition = Precondition(key, entry.value?.revision ?: 0)
+        val entry = (store.get(key) as? StoreResult.Ok ?: return false).value
+        val recorded = entry?.let { GenerationCodec.decode(it.data).valueOrNull }
+        if (recorded == Generation.CURRENT.toLong()) return true
+        val precondition = Precondition(key, entry?.revision ?: 0)
         val result = store.txn(listOf(precondition), listOf(KeyWrite.Put(key, GenerationCodec.encode(Generation.CURRENT))))
         return (result as? StoreResult.Ok)?.value is TxnOutcome.Applied
     }
 
-    /** Whether all controllers run [generation] or a later one. */
+    /** Whether all controllers are known to run [generation] or a later one. May ask the store. */
     suspend fun allHave(generation: Int): Boolean {
         if (versions.lacking(generation).isEmpty()) return true
         if (loop.nowMs() - readAtMs >= UserApiConstants.VERSION_RETRY_MS) read()
@@ -66,4 +66,9 @@
             versions.recorded(entry.key.removePrefix(Keys.VERSIONS), generation.toInt())
         }
     }
+
+    private companion object {
+        /** Before any time of the event loop, and far enough from the smallest number that differences do not overflow. */
+        const val NEVER = Long.MIN_VALUE / 2
+    }
 }
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -7,11 +7,11 @@
 import mintfield.core.model.Priority
 
 /**
- * Hands the priority and the deadline of a pipeline's last job on to the jobs that it depends on. Users set both on that one only, so
- * by their own the others would be served last and end when the deadline is over.
+ * Priority and deadline inheritance along dependencies. Users give both to the last job of a pipeline only; by their own, the jobs that
+ * it depends on would be served last and end after its deadline.
  *
- * A job takes the highest priority among itself and its unfinished successors, direct and through others. It is due when the
- * earliest of them is, less what the jobs in between are expected to take: run, fetch of the image, and start.
+ * A job has the highest priority among itself and its unfinished successors, direct and through others. It is due when the earliest of
+ * them is, less the time that the jobs in between are expected to take to start, fetch their images and run.
  */
 class InheritedUrgency(
     private val cluster: Cluster,
@@ -19,16 +19,19 @@
 ) {
     private var seenVersion = -1L
     private var refreshedAtMs = Machine.NEVER
-    private var changed: List<Job> = emptyList()
+    private var inheriting: List<Job> = emptyList()
 
-    /** What a job passes on to the jobs that it depends on. */
+    /** What a job demands of the jobs that it depends on. */
     private class Urgency(
         val priority: Priority,
-        /** When the predecessors must be done at the latest, time of day in milliseconds; null without a deadline. */
+        /** When they must be done at the latest, time of day in milliseconds; null without a deadline. */
         val dueBeforeMs: Double?,
     )
 
-    /** Brings the jobs up to date, if the graph has changed or the run times may have been learned anew. */
+    /**
+     * Updates the priority, deadline and criticality of all jobs with successors, if the graph has changed or the learned run times may
+     * have. [nowMs] is the steady clock, [wallMs] the time of day, in milliseconds.
+     */
     fun refresh(
         nowMs: Long,
         wallMs: Long,
@@ -36,8 +39,8 @@
         if (seenVersion == dependencies.version && nowMs - refreshedAtMs < UserApiConstants.INHERITANCE_REFRESH_MS) return
         seenVersion = dependencies.version
         refreshedAtMs = nowMs
-        changed.forEach(::reset)
-        val urgencies = HashMap<DependencyGraph.Node, Urgency>()
+        inheriting.forEach(::reset)
+        val urgencies = HashMap<DependencyNode, Urgency>()
         val jobs = ArrayList<Job>()
         for (node in successorsFirst()) {
             val inherited = node.successors.mapNotNull { urgencies[it] }
@@ -47,9 +50,9 @@
                 job.deadlineCritical = isDeadlineCritical(job, node, wallMs)
                 jobs.add(job)
             }
-            if (node.wanted) urgencies[node] = passedOn(node, inherited)
+            if (node.wanted) urgencies[node] = demandOf(node, inherited)
         }
-        changed = jobs
+        inheriting = jobs
     }
 
     private fun reset(job: Job) {
@@ -58,16 +61,20 @@
         job.deadlineCritical = false
     }
 
-    /** Once it is too late it presses no more: then nothing is gained by stopping others. */
+    /**
+     * Whether the job is expected to end close to when it is due, before or after. Long after that it is not critical any more, as
+     * preempting others gains nothing then.
+     */
     private fun isDeadlineCritical(
         job: Job,
-        node: DependencyGraph.Node,
+        node: DependencyNode,
         wallMs: Long,
     ): Boolean {
         val dueMs = job.inheritedDueMs ?: return false
         if (node.job == null) return false
         val endsMs = wallMs + durationMs(node)
-        return endsMs + UserApiConstants.PIPELINE_CRITICAL_WINDOW_MS > dueMs && endsMs < dueMs + UserApiConstants.PIPELINE_CRITICAL_WINDOW_MS
+        val windowMs = UserApiConstants.PIPELINE_CRITICAL_WINDOW_MS
+        return endsMs + windowMs > dueMs && endsMs < dueMs + windowMs
     }
 
     private fun inherit(
@@ -80,8 +87,8 @@
 
     private fun earliest(urgencies: List<Urgency>): Double? = urgencies.mapNotNull { it.dueBeforeMs }.minOrNull()
 
-    private fun passedOn(
-        node: DependencyGraph.Node,
+    private fun demandOf(
+        node: DependencyNode,
         inherited: List<Urgency>,
     ): Urgency {
         val accepted = checkNotNull(node.job)
@@ -91,8 +98,8 @@
         return Urgency(priority, due?.let { it - durationMs(node) })
     }
 
-    /** What the job of [node] is expected to take from its readiness to its end. */
-    private fun durationMs(node: DependencyGraph.Node): Double {
+    /** Milliseconds that the job of [node] is expected to take from its readiness to its end. */
+    private fun durationMs(node: DependencyNode): Double {
         val accepted = checkNotNull(node.job)
         val runS = cluster.jobs[node.id]?.let { cluster.runTimes.expectedS(it) } ?: accepted.spec.estimateS
         val fetchGbPerS = accepted.compatibleTypes.mapNotNull { cluster.types[it]?.fetchGbPerS }.minOrNull() ?: 0.0
@@ -100,19 +107,19 @@
         return (runS * UserApiConstants.PIPELINE_RUN_FACTOR + fetchS) * MS_PER_S + UserApiConstants.PIPELINE_START_MS
     }
 
-    /** The nodes of the graph, each after all of its successors. */
-    private fun successorsFirst(): List<DependencyGraph.Node> {
-        val left = HashMap<DependencyGraph.Node, Int>()
-        val order = ArrayList<DependencyGraph.Node>(dependencies.all.size)
+    /** The nodes of the graph in topological order (Kahn's algorithm), each after all of its successors. */
+    private fun successorsFirst(): List<DependencyNode> {
+        val remainingSuccessors = HashMap<DependencyNode, Int>()
+        val order = ArrayList<DependencyNode>(dependencies.all.size)
         for (node in dependencies.all) {
-            left[node] = node.successors.size
+            remainingSuccessors[node] = node.successors.size
             if (node.successors.isEmpty()) order.add(node)
         }
         var next = 0
         while (next < order.size) {
             for (predecessor in order[next].predecessors) {
-                val remaining = left.getValue(predecessor) - 1
-                left[predecessor] = remaining
+                val remaining = remainingSuccessors.getValue(predecessor) - 1
+                remainingSuccessors[predecessor] = remaining
                 if (remaining == 0) order.add(predecessor)
             }
             next++
--- a/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
+++ b/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
@@ -1,31 +1,20 @@
 package mintfield.core.upgrade
 
-/** What a controller can do that an earlier version could not; it rises with each change that all controllers must have. */
-object Generation {
-    /** It knows nothing of what came after the first released records. */
-    const val FIRST = 1
-
-    /** It knows of jobs that depend on others. */
-    const val DEPENDENCIES = 2
-
-    /** That of this program. */
-    const val CURRENT = DEPENDENCIES
-}
-
 /**
- * Which generation each controller of the settings runs. Behaviour that an earlier generation would misread stays off until all
- * have been seen to have it.
+ * The generations that the other controllers run. What a controller of an earlier generation would misread stays off until all are
+ * known to have the generation that it needs.
  *
- * Two things are known of a controller: the generation that it has recorded in the store, which stays when it ends, and
- * the one in its last note, which tells of an earlier program that was put in place of a later one.
+ * Two sources count, and both must allow it: the generation that a controller has recorded in the store, which outlives its process, and
+ * the one in its last peer status, which reveals that an earlier program was installed in place of a later one.
  */
 class ControllerVersions(
+    /** The names of the other controllers. */
     private val peers: Collection<String>,
 ) {
     private val recorded = HashMap<String, Int>()
     private val announced = HashMap<String, Int>()
 
-    /** [member] has recorded [generation]. */
+    /** The store holds [generation] for the controller [member]. */
     fun recorded(
         member: String,
         generation: Int,
@@ -33,7 +22,7 @@
         recorded[member] = generation
     }
 
-    /** A note of [member] names [generation]. */
+    /** A peer status of the controller [member] names [generation]. */
     fun announced(
         member: String,
         generation: Int,
@@ -42,5 +31,15 @@
     }
 
     /** The peers that are not known to run [generation] or a later one. */
-    fun lacking(generation: Int): List<String> = peers.filter { (recorded[it] ?: Generation.FIRST) < generation || (announced[it] ?: generation) < generation }
+    fun lacking(generation: Int): List<String> = peers.filter { isRecordedBefore(it, generation) || isAnnouncedBefore(it, generation) }
+
+    private fun isRecordedBefore(
+        peer: String,
+        generation: Int,
+    ) = (recorded[peer] ?: Generation.FIRST) < generation
+
+    private fun isAnnouncedBefore(
+        peer: String,
+        generation: Int,
+    ) = announced[peer]?.let { it < generation } ?: false
 }
