--- a/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
+++ b/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
@@ -32,7 +32,7 @@
 
                 is CloudCall.ListPage ->
                     when (val r = cloud.list(call.after)) {
-                        is CloudResult.Ok -> return fleet.listed(r.value.first, r.value.second, loop.nowMs())
+                        is CloudResult.Ok -> return fleet.listed(r.value.machines, r.value.hasNext, loop.nowMs())
                         CloudResult.NoCapacity -> "no capacity"
                         is CloudResult.Failed -> r.reason
                     }
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -113,9 +113,9 @@
         var after: String? = null
         while (true) {
             val page = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
-            scheduler.listed(page.first, page.second, loop.nowMs())
-            if (!page.second) return
-            after = page.first.lastOrNull()?.id ?: return
+            scheduler.listed(page.machines, page.hasNext, loop.nowMs())
+            if (!page.hasNext) return
+            after = page.machines.lastOrNull()?.id ?: return
         }
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
@@ -0,0 +1,51 @@
+@file:Suppress("MagicNumber") // the numbers of the protocol's fields, each beside its field
+
+package mintfield.io.peer
+
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.protobuf.ProtoNumber
+import mintfield.core.upgrade.Generation
+
+/**
+ * The status that a controller sends to each of its peers once a second, in protobuf. A peer of another generation ignores fields that it
+ * does not know and takes the defaults of those that it does not get. No safety rule rests on a status.
+ */
+@OptIn(ExperimentalSerializationApi::class)
+@Serializable
+data class PeerStatus(
+    /** The name of the sender. */
+    @ProtoNumber(1) val member: String,
+    /** Whether the store serves the sender. */
+    @ProtoNumber(2) val storeServes: Boolean,
+    /** Whether the sender leads, or leads any shard. */
+    @ProtoNumber(3) val leading: Boolean,
+    /** The progress of some or all of the leader's jobs. */
+    @ProtoNumber(4) val progress: List<JobProgress> = emptyList(),
+    /** The leader's term; 0 if the sender does not lead. */
+    @ProtoNumber(5) val term: Long = 0,
+    /** Whether changes of users wait at the sender for the store. */
+    @ProtoNumber(6) val congested: Boolean = false,
+    /** The incarnation of the receiver's log of cancellations from which the sender has read. */
+    @ProtoNumber(7) val readIncarnation: Long = 0,
+    /** The position in that log from which the sender wants to read on. */
+    @ProtoNumber(8) val readNext: Long = 0,
+    /** The number of the leader's jobs, if [progress] has no room for all of them; else 0. */
+    @ProtoNumber(9) val jobs: Int = 0,
+    /** The shards that the sender leads; empty if machines are not sharded. */
+    @ProtoNumber(10) val shards: List<ShardLeaderStatus> = emptyList(),
+    /** The generation of the sender's program; the first generation does not send it. */
+    @ProtoNumber(11) val generation: Int = Generation.FIRST,
+)
+
+/** The progress of a job, for display. */
+@OptIn(ExperimentalSerializationApi::class)
+@Serializable
+data class JobProgress(
+    /** The job's id. */
+    @ProtoNumber(1) val id: String,
+    /** Number of its tasks that are done. */
+    @ProtoNumber(2) val done: Int,
+    /** Number of its tasks that run. */
+    @ProtoNumber(3) val running: Int,
+)
