--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import mintfield.app.api.JobAdmission
 import mintfield.app.api.JobStatusService
 import mintfield.app.api.JobSubmissionService
 import mintfield.app.api.PredecessorLookup
@@ -75,10 +76,9 @@
     private val peers = PeerLink(loop, scope, settings, services, this)
     private val answers = JobStatusService(services.store, replicator, ::progress, cancellations::append) { peers.isStoreUnreachable() }
     private val predecessors = PredecessorLookup(services.store, replicator)
+    private val admission = JobAdmission(settings.teams) { services.types.values }
     private val submissions =
-        JobSubmissionService(settings, replicator, answers, changes, predecessors, versions, services.stateLimits, {
-            services.types.values
-        }) { peers.isStoreUnreachable() }
+        JobSubmissionService(admission, replicator, answers, changes, predecessors, versions, services.stateLimits) { peers.isStoreUnreachable() }
     private val users = UserApi(answers, submissions, replicator, changes, services.stateLimits)
     private val heartbeats = HeartbeatEndpoint(loop, settings, peers, elections)
     private val bounds = ConnectionLimits(settings)
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -8,13 +8,10 @@
 import mintfield.core.model.FinalState
 import mintfield.core.model.JobPhase
 import mintfield.core.model.JobSpec
-import mintfield.core.model.MachineType
-import mintfield.core.model.Settings
-import mintfield.core.model.Shape
 import mintfield.core.model.StateLimitsInForce
-import mintfield.core.model.compatibleMachineTypes
 import mintfield.core.upgrade.Generation
 import mintfield.io.http.HttpMessage
+import mintfield.io.http.HttpStatus
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.loop.Log
@@ -24,101 +21,128 @@
 import mintfield.io.store.Keys
 import mintfield.io.store.Precondition
 import mintfield.io.worker.JobCodec
+import mintfield.io.worker.JobFields
 
-/** Submissions of jobs: each is checked and, unless the job is known already, recorded as accepted. */
+/**
+ * Submissions of jobs, which are idempotent: each is checked and, unless the job is known already, recorded as accepted. Runs on the
+ * event loop.
+ */
 class JobSubmissionService(
-    private val settings: Settings,
+    private val admission: JobAdmission,
     private val replicator: JobReplicator,
     private val answers: JobStatusService,
     private val changes: UserWriteBatcher,
     private val predecessors: PredecessorLookup,
     private val versions: VersionRecords,
     private val limits: StateLimitsInForce,
-    private val types: () -> Collection<MachineType>,
     /** Whether the store has not been reached for a while, so that asking it would only make the user wait. */
     private val cutOff: () -> Boolean,
 ) {
-    /** The submissions under way, by job; each completes when it has ended, however that was. */
-    private val submitting = HashMap<String, CompletableDeferred<Unit>>()
+    /** The submissions in progress, by job; each completes when it has ended, with whatever result. */
+    private val inProgress = HashMap<String, CompletableDeferred<Unit>>()
 
-    /** Accepts a job, or tells the state of one that was accepted before. */
+    /** Accepts a job, or gives the state of one that was accepted before. */
     suspend fun submit(request: HttpMessage): Response =
         when (val parsed = JobCodec.parse(Json.parseObject(request.body))) {
-            is JobCodec.Parsed.Invalid -> {
-                val refusal = Response.error(400, parsed.reason)
-                if (parsed.id == null) refusal else answers.existingOr(parsed.id) { refusal }
-            }
-
-            is JobCodec.Parsed.Valid -> submitting[parsed.spec.id]?.let { repeated(parsed.spec, it) } ?: submitAlone(parsed.spec)
+            is JobCodec.Parsed.Invalid -> refuseInvalid(parsed)
+            is JobCodec.Parsed.Valid -> submit(parsed.spec)
         }
 
+    /** An invalid request that names a job which was accepted before gets that job's state all the same. */
+    private suspend fun refuseInvalid(invalid: JobCodec.Parsed.Invalid): Response {
+        val refusal = Response.error(HttpStatus.BAD_REQUEST, invalid.reason)
+        return if (invalid.id == null) refusal else answers.existingOr(invalid.id) { refusal }
+    }
+
+    private suspend fun submit(spec: JobSpec): Response {
+        val earlier = inProgress[spec.id]
+        return if (earlier == null) submitAlone(spec) else submitAfter(earlier, spec)
+    }
+
     /**
-     * A submission that comes while another of the same job is under way. It must not share that one's answer, which may rest on
-     * what was so before this request came: another node may have told meanwhile that the job is done or cancelled (rule
-     * `went_back`). So the job is looked up anew, now and again once the other has ended.
+     * A submission that comes while another one of the same job is in progress. It must not share that one's response, which may rest
+     * on what was true before this request came: another controller may have reported since that the job is done or cancelled. So the
+     * job is looked up anew, now and again once the other one has ended.
      */
-    private suspend fun repeated(
-        spec: JobSpec,
+    private suspend fun submitAfter(
         earlier: CompletableDeferred<Unit>,
+        spec: JobSpec,
     ): Response =
         answers.existingOr(spec.id) {
             earlier.await()
-            answers.existingOr(spec.id) { if (spec.id in submitting) answers.busy("it is being submitted") else submitAlone(spec) }
+            answers.existingOr(spec.id) { if (spec.id in inProgress) answers.busy("it is being submitted") else submitAlone(spec) }
         }
 
-    /** One at a time for each job: one transaction must not write a key twice. */
+    /** One submission of a job at a time, since one transaction must not write a key twice. */
     private suspend fun submitAlone(spec: JobSpec): Response {
         val ended = CompletableDeferred<Unit>()
-        submitting[spec.id] = ended
+        inProgress[spec.id] = ended
         try {
-            val response = submit(spec)
-            if (response.status >= 400) Log.info("submission of ${spec.id} answered ${response.status}: ${String(response.body)}")
+            val response = checkAndAccept(spec)
+            if (response.status >= HttpStatus.FIRST_ERROR) Log.info("submission of ${spec.id} answered ${response.status}: ${String(response.body)}")
             return response
         } finally {
-            submitting.remove(spec.id)
+            inProgress.remove(spec.id)
             ended.complete(Unit)
         }
     }
 
-    private suspend fun submit(spec: JobSpec): Response {
+    private suspend fun checkAndAccept(spec: JobSpec): Response {
         (replicator.known(spec.id) as? KnownJob.Ended)?.let { return answers.answer(spec.id, it) }
-        val known = types()
-        if (known.isEmpty()) return answers.existingOr(spec.id) { answers.busy("the machine types are not known yet") }
-        val compatibleTypes = compatibleMachineTypes(spec, known)
-        impossible(spec, compatibleTypes)?.let { reason -> return answers.existingOr(spec.id) { Response.error(422, reason) } }
-        if (cutOff()) return answers.busy("the state service cannot be reached from here")
-        if (!changes.open) return answers.busy("too many submissions are waiting")
-        return if (spec.predecessors.isEmpty()) accept(spec, compatibleTypes) else submitDependent(spec, compatibleTypes)
+        return when (val result = admission.check(spec)) {
+            JobAdmission.Result.TypesUnknown -> answers.existingOr(spec.id) { answers.busy("the machine types are not known yet") }
+            is JobAdmission.Result.Impossible -> refuseImpossible(spec.id, result.reason)
+            is JobAdmission.Result.Possible -> acceptIfOpen(spec, result.compatibleTypes)
+        }
     }
 
-    /** A job that depends on others. The state of one that is known already does not depend on what has become of those. */
-    private suspend fun submitDependent(
+    private suspend fun refuseImpossible(
+        id: String,
+        reason: String,
+    ): Response = answers.existingOr(id) { Response.error(HttpStatus.UNPROCESSABLE, reason) }
+
+    private suspend fun acceptIfOpen(
+        spec: JobSpec,
+        compatibleTypes: List<String>,
+    ): Response =
+        when {
+            cutOff() -> answers.busy("the state service cannot be reached from here")
+            !changes.hasRoom -> answers.busy("too many submissions are waiting")
+            spec.predecessors.isEmpty() -> accept(spec, compatibleTypes)
+            else -> acceptDependent(spec, compatibleTypes)
+        }
+
+    /** A job that depends on others. If it is known already, its state does not depend on what has become of those since. */
+    private suspend fun acceptDependent(
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): Response {
         if (!versions.allHave(Generation.DEPENDENCIES)) return answers.existingOr(spec.id) { answers.busy("a controller still runs an earlier version") }
         return when (val found = predecessors.find(spec.predecessors)) {
-            is Predecessors.NeverAccepted -> answers.existingOr(spec.id) { Response.error(422, "awaits: ${found.id} was never accepted") }
-            is Predecessors.Service -> answers.existingOr(spec.id) { Response.error(422, "awaits: ${found.id} is a service, which is never done") }
-            Predecessors.Unavailable -> answers.busy("the state service cannot be asked now")
+            is Predecessors.NeverAccepted -> refuseImpossible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} was never accepted")
+            is Predecessors.Service -> refuseImpossible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} is a service, which is never done")
+            Predecessors.Unavailable -> answers.storeUnavailable()
             is Predecessors.Accepted ->
                 if (found.cancelled) acceptCancelled(spec.id) else accept(spec.copy(predecessors = found.unfinished), compatibleTypes)
         }
     }
 
-    /** Writes that a job is accepted, unless it has been before. */
+    /** Records that a job is accepted, unless it was accepted before. */
     private suspend fun accept(
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): Response {
-        val json = JobRecordCodec.encode(AcceptedJob(spec, 0, System.currentTimeMillis(), cancelled = false, compatibleTypes = compatibleTypes))
-        if (json.size > limits.lowest.valueBytes) return answers.existingOr(spec.id) { Response.error(400, "the description is too long") }
-        return write(spec.id, KeyWrite.Put(Keys.live(spec.id), json)) { answers.accepted(spec.id) }
+        val job = AcceptedJob(spec, revision = 0, System.currentTimeMillis(), cancelled = false, compatibleTypes)
+        val record = JobRecordCodec.encode(job)
+        if (record.size > limits.lowest.valueBytes) {
+            return answers.existingOr(spec.id) { Response.error(HttpStatus.BAD_REQUEST, "the description is too long") }
+        }
+        return write(spec.id, KeyWrite.Put(Keys.live(spec.id), record)) { answers.accepted(spec.id) }
     }
 
-    /** Writes that a job is accepted and, since one that it depends on is cancelled, cancelled. */
+    /** Records that a job is accepted and, as one that it depends on is cancelled, cancelled. */
     private suspend fun acceptCancelled(id: String): Response {
-        val cancelled = FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis())
+        val cancelled = FinalState(JobPhase.CANCELLED, tasks = 0, System.currentTimeMillis())
         return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
             replicator.ended(id, cancelled)
             answers.acceptedAsCancelled(id)
@@ -138,16 +162,4 @@
             WriteResult.UNKNOWN -> answers.existingOr(id) { answers.busy("not known yet whether it was accepted") }
         }
     }
-
-    private fun impossible(
-        spec: JobSpec,
-        compatibleTypes: List<String>,
-    ): String? {
-        val team = settings.teams.firstOrNull { it.name == spec.team } ?: return "crew: unknown team ${spec.team}"
-        if (compatibleTypes.isEmpty()) return "a task fits no allowed machine type"
-        val atOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks // a gang or a service needs all of its tasks at once
-        if (team.cpusMax > 0 && spec.cpus * atOnce > team.cpusMax) return "more CPUs than the limit of ${team.name}"
-        if (team.gpusMax > 0 && spec.gpus * atOnce > team.gpusMax) return "more cards than the limit of ${team.name}"
-        return null
-    }
 }
--- a/src/main/kotlin/mintfield/app/api/UserApi.kt
+++ b/src/main/kotlin/mintfield/app/api/UserApi.kt
@@ -7,6 +7,7 @@
 import mintfield.core.model.JobPhase
 import mintfield.core.model.StateLimitsInForce
 import mintfield.io.http.HttpMessage
+import mintfield.io.http.HttpStatus
 import mintfield.io.http.Response
 import mintfield.io.store.FinalStateCodec
 import mintfield.io.store.JobRecordCodec
@@ -15,7 +16,7 @@
 import mintfield.io.store.Precondition
 import mintfield.io.worker.JobCodec
 
-/** What users ask, answered by any node from the store's truth. */
+/** The requests of users. Any controller serves them, from the store and by guarded writes to it. Runs on the event loop. */
 class UserApi(
     private val answers: JobStatusService,
     private val submissions: JobSubmissionService,
@@ -23,39 +24,42 @@
     private val changes: UserWriteBatcher,
     private val limits: StateLimitsInForce,
 ) {
-    /** Accepts a job, or tells the state of one that was accepted before. */
+    /** Accepts a job, or gives the state of one that was accepted before. */
     suspend fun submit(request: HttpMessage): Response = submissions.submit(request)
 
-    /** The state of the job [id]. */
-    suspend fun poll(id: String): Response {
-        val notFound = Response.error(404, "no such job")
-        return if (JobCodec.isId(id)) answers.existingOr(id) { notFound } else notFound
-    }
+    /** Gives the state of job [id]. */
+    suspend fun poll(id: String): Response = if (JobCodec.isId(id)) answers.existingOr(id) { notFound() } else notFound()
+
+    private fun notFound() = Response.error(HttpStatus.NOT_FOUND, "no such job")
 
-    /** Cancels the job [id], unless it has ended. */
+    /** Cancels job [id], unless it has ended. */
     suspend fun abort(id: String): Response {
-        val notFound = Response.error(404, "no such job")
-        if (!JobCodec.isId(id)) return notFound
-        repeat(ABORT_TRIES) {
-            val found =
-                when (val lookup = answers.lookUp(id)) {
-                    is Lookup.Found -> lookup.job
-                    Lookup.NotFound -> return notFound
-                    Lookup.Unavailable -> return answers.busy("the state service cannot be asked now")
-                }
-            when (found) {
-                is KnownJob.Ended -> return answers.answer(id, found)
-                KnownJob.Unreadable -> return answers.busy("what is recorded of it cannot be read")
-                is KnownJob.Live -> {
-                    if (answers.isCancelled(found)) return answers.answer(id, found)
-                    cancel(found.job)?.let { return it }
-                }
-            }
+        if (!JobCodec.isId(id)) return notFound()
+        repeat(ABORT_ATTEMPTS) {
+            tryAbort(id)?.let { return it }
         }
         return answers.busy("try again")
     }
 
-    /** Writes that [job] is cancelled; null if it is not known whether it is, or it had changed meanwhile. */
+    /** Cancels job [id] as it is now; null if that must be tried again. */
+    private suspend fun tryAbort(id: String): Response? =
+        when (val lookup = answers.lookUp(id)) {
+            is Lookup.Found -> abort(id, lookup.job)
+            Lookup.NotFound -> notFound()
+            Lookup.Unavailable -> answers.storeUnavailable()
+        }
+
+    private suspend fun abort(
+        id: String,
+        known: KnownJob,
+    ): Response? =
+        when (known) {
+            is KnownJob.Ended -> answers.answer(id, known)
+            is KnownJob.Live -> if (answers.isCancelled(known)) answers.answer(id, known) else cancel(known.job)
+            KnownJob.Unreadable -> answers.busy("what is recorded of it cannot be read")
+        }
+
+    /** Records that [job] is cancelled; null if it has changed meanwhile or it is not known whether the record was written. */
     private suspend fun cancel(job: AcceptedJob): Response? {
         val id = job.spec.id
         val cancelled = FinalState(JobPhase.CANCELLED, answers.doneTasks(id), System.currentTimeMillis())
@@ -70,13 +74,12 @@
                 replicator.ended(id, cancelled)
                 answers.answer(id, KnownJob.Ended(cancelled))
             }
-
             WriteResult.REFUSED -> answers.busy("the state service does not take it now")
             WriteResult.CONFLICT, WriteResult.UNKNOWN -> null
         }
     }
 
     private companion object {
-        const val ABORT_TRIES = 3
+        const val ABORT_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -17,193 +17,221 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-enum class WriteResult {
-    APPLIED,
-
-    /** A guarded key had changed: nothing was written. */
-    CONFLICT,
-
-    /** The store did not take it; its user should come back. */
-    REFUSED,
-
-    /** No answer: it may or may not be applied, now or later. */
-    UNKNOWN,
-}
-
-/** Writes the changes that users ask for; those that wait at the same moment share a transaction. */
+/**
+ * Writes the changes that users request. Changes that wait at the same moment share a transaction, whose size adapts to what the store
+ * accepts: it is halved when the store refuses writes as too many, and doubled after each success. Runs on the event loop.
+ */
 class UserWriteBatcher(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val store: StoreClient,
     private val limits: StateLimitsInForce,
 ) {
+    /** A change that waits for its result. */
     private class Change(
         val preconditions: List<Precondition>,
         val writes: List<KeyWrite>,
-        val sinceMs: Long,
+        val queuedAtMs: Long,
     ) {
         val result = CompletableDeferred<WriteResult>()
-        val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD * (preconditions.size + writes.size)
+
+        /** About what it takes of the size of a transaction. */
+        val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD_BYTES * (preconditions.size + writes.size)
+    }
+
+    /** The changes that one transaction is to carry out. */
+    private class Batch(
+        private val maxOps: Int,
+    ) {
+        val changes = ArrayList<Change>()
+        private val keys = HashSet<String>()
+        private var ops = 0
+        private var bytes = 0
+
+        /** Whether [change] can be added. A transaction that writes a key twice, as two users cancel the same job, is malformed. */
+        fun hasRoomFor(change: Change): Boolean {
+            val fits = ops + change.writes.size <= maxOps && bytes + change.bytes <= StoreConstants.MAX_TXN_BYTES
+            return (fits || changes.isEmpty()) && change.writes.none { it.key in keys }
+        }
+
+        fun add(change: Change) {
+            change.writes.mapTo(keys) { it.key }
+            ops += change.writes.size
+            bytes += change.bytes
+            changes.add(change)
+        }
     }
 
     private val queue = ArrayDeque<Change>()
-    private var lanes = 0
-    private var mostOps = limits.current.txnOps
+    private var activeWriters = 0
+
+    /** Puts and deletes that a transaction may have at present. */
+    private var maxOps = limits.current.txnOps
+
+    /** The limits that the rate and [maxOps] are set for. */
     private var pacedFor = limits.current
     private val rateLimiter = RateLimiter(loop, pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
 
-    /** Told when the store refuses changes as too many, so that the leader can leave room for them. */
+    /** Called when the store refuses changes as too many, so that the leader leaves room for them. */
     var onCongestion: () -> Unit = {}
 
-    /** Whether changes wait for their turn at the store. */
-    val congested: Boolean get() = queue.isNotEmpty() || mostOps < limits.current.txnOps
+    /** Whether changes wait for the store. */
+    val congested: Boolean get() = queue.isNotEmpty() || maxOps < limits.current.txnOps
 
-    /** False when so much waits already that a further change would only grow old. */
-    val open: Boolean get() = queue.size < UserApiConstants.MAX_WAITING_CHANGES
+    /** Whether a further change can be queued; if not, it would wait too long. */
+    val hasRoom: Boolean get() = queue.size < UserApiConstants.MAX_WAITING_CHANGES
 
+    /** Carries out [writes] atomically if all [preconditions] hold. Suspends until the result is known, or given up. */
     suspend fun write(
         preconditions: List<Precondition>,
         writes: List<KeyWrite>,
     ): WriteResult {
-        if (!open) return WriteResult.REFUSED
+        if (!hasRoom) return WriteResult.REFUSED
         val change = Change(preconditions, writes, loop.nowMs())
         queue.addLast(change)
-        if (lanes < UserApiConstants.MAX_CONCURRENT_CHANGES) {
-            lanes++
-            scope.launch {
-                try {
-                    drain()
-                } finally {
-                    lanes--
-                }
+        if (activeWriters < UserApiConstants.MAX_CONCURRENT_CHANGES) launchWriter()
+        return change.result.await()
+    }
+
+    private fun launchWriter() {
+        activeWriters++
+        scope.launch {
+            try {
+                writeQueue()
+            } finally {
+                activeWriters--
             }
         }
-        return change.result.await()
     }
 
-    private suspend fun drain() {
+    private suspend fun writeQueue() {
         while (queue.isNotEmpty()) {
-            val batch = take()
-            keepToLimits()
+            val batch = takeBatch()
+            adoptLimits()
             rateLimiter.acquire(batch.sumOf { it.writes.size }.toDouble())
             try {
                 carryOut(batch)
             } catch (e: IllegalStateException) {
-                // Nobody may wait for an answer that does not come. A malformed transaction was not executed.
+                // Nobody may wait for a result that never comes. A malformed transaction was not executed.
                 Log.error("changes of users failed: ${e.message}")
                 finish(batch, WriteResult.REFUSED)
             }
         }
     }
 
-    /** The limits may have become lower, by what the leader here was told as well. */
-    private fun keepToLimits() {
+    /** Follows the limits in force, which may have become lower by what another part of this controller met. */
+    private fun adoptLimits() {
         if (pacedFor == limits.current) return
         pacedFor = limits.current
-        mostOps = minOf(mostOps, pacedFor.txnOps)
+        maxOps = minOf(maxOps, pacedFor.txnOps)
         rateLimiter.limit(pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
     }
 
-    private fun take(): List<Change> {
-        keepToLimits()
-        val batch = ArrayList<Change>()
-        val keys = HashSet<String>()
-        var ops = 0
-        var bytes = 0
-        while (true) {
-            val next = queue.firstOrNull() ?: break
-            if (batch.isNotEmpty() && (ops + next.writes.size > mostOps || bytes + next.bytes > StoreConstants.MAX_TXN_BYTES)) break
-            // Several users cancel the same job at once: a transaction that writes a key twice would be malformed.
-            if (next.writes.any { it.key in keys }) break
-            next.writes.mapTo(keys) { it.key }
-            ops += next.writes.size
-            bytes += next.bytes
-            batch.add(queue.removeFirst())
+    private fun takeBatch(): List<Change> {
+        adoptLimits()
+        val batch = Batch(maxOps)
+        while (queue.isNotEmpty() && batch.hasRoomFor(queue.first())) batch.add(queue.removeFirst())
+        return batch.changes
+    }
+
+    private suspend fun carryOut(changes: List<Change>) {
+        var remaining = changes
+        while (remaining.isNotEmpty()) remaining = carryOutOnce(remaining)
+    }
+
+    /** Sends [batch] in one transaction; returns the changes of it that are to be sent again at once. */
+    private suspend fun carryOutOnce(batch: List<Change>): List<Change> {
+        val usedFor = limits.current
+        return when (val result = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
+            is StoreResult.Ok -> settle(batch, usedFor, result.value)
+            is StoreResult.Refused -> if (result.rateLimited) backOff(batch) else finish(batch, WriteResult.REFUSED)
+            is StoreResult.Unknown -> {
+                Log.info("no answer to ${batch.size} changes of users: ${result.reason}")
+                finish(batch, WriteResult.UNKNOWN)
+            }
         }
-        return batch
     }
 
-    private suspend fun carryOut(all: List<Change>) {
-        var batch = all
-        while (batch.isNotEmpty()) {
-            val usedFor = limits.current
-            when (val r = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
-                is StoreResult.Ok ->
-                    when (val outcome = r.value) {
-                        is TxnOutcome.Applied -> {
-                            mostOps = minOf(limits.current.txnOps, mostOps * 2)
-                            return finish(batch, WriteResult.APPLIED)
-                        }
-
-                        is TxnOutcome.Failed -> {
-                            val failed = outcome.keys.toSet()
-                            val (bad, good) = batch.partition { c -> c.preconditions.any { it.key in failed } }
-                            // One change that meets a conflict must not fail its neighbours.
-                            finish(bad, WriteResult.CONFLICT)
-                            if (bad.isEmpty()) return finish(batch, WriteResult.REFUSED)
-                            batch = good
-                        }
-
-                        is TxnOutcome.Malformed -> {
-                            batch = smaller(batch, usedFor, outcome)
-                        }
-
-                        TxnOutcome.LeaseGone -> return finish(batch, WriteResult.REFUSED)
-                    }
-
-                is StoreResult.Refused -> {
-                    if (r.status != TOO_MANY) return finish(batch, WriteResult.REFUSED)
-                    val (old, young) = batch.partition { loop.nowMs() - it.sinceMs > UserApiConstants.CHANGE_TIMEOUT_MS }
-                    finish(old, WriteResult.REFUSED)
-                    onCongestion()
-                    mostOps = maxOf(UserApiConstants.MIN_CHANGE_OPS, mostOps / 2)
-                    batch = putBack(young)
-                    if (batch.isNotEmpty()) delay(StoreConstants.STORE_RETRY_MS)
-                }
-
-                is StoreResult.Unknown -> {
-                    Log.info("no answer to ${batch.size} changes of users: ${r.reason}")
-                    return finish(batch, WriteResult.UNKNOWN)
-                }
+    private fun settle(
+        batch: List<Change>,
+        usedFor: StateLimits,
+        outcome: TxnOutcome,
+    ): List<Change> =
+        when (outcome) {
+            is TxnOutcome.Applied -> {
+                maxOps = minOf(limits.current.txnOps, maxOps * 2)
+                finish(batch, WriteResult.APPLIED)
             }
+            is TxnOutcome.Failed -> withoutConflicts(batch, outcome)
+            is TxnOutcome.Malformed -> smaller(batch, usedFor, outcome)
+            TxnOutcome.LeaseGone -> finish(batch, WriteResult.REFUSED)
         }
+
+    /** The changes of [batch] whose preconditions hold: a conflict of one must not fail the others. */
+    private fun withoutConflicts(
+        batch: List<Change>,
+        outcome: TxnOutcome.Failed,
+    ): List<Change> {
+        val failedKeys = outcome.keys.toSet()
+        val (conflicting, others) = batch.partition { change -> change.preconditions.any { it.key in failedKeys } }
+        if (conflicting.isEmpty()) return finish(batch, WriteResult.REFUSED)
+        finish(conflicting, WriteResult.CONFLICT)
+        return others
+    }
+
+    /** The changes of [batch] that still have time, as many as a transaction of half the size takes, after a pause. */
+    private suspend fun backOff(batch: List<Change>): List<Change> {
+        val (expired, others) = batch.partition { loop.nowMs() - it.queuedAtMs > UserApiConstants.CHANGE_TIMEOUT_MS }
+        finish(expired, WriteResult.REFUSED)
+        onCongestion()
+        maxOps = maxOf(UserApiConstants.MIN_CHANGE_OPS, maxOps / 2)
+        val remaining = putBackExcess(others)
+        if (remaining.isNotEmpty()) delay(StoreConstants.STORE_RETRY_MS)
+        return remaining
     }
 
-    /** What to try next of a [batch] that was called malformed: as much as the limits permit that are in force now, or one at a time. */
+    /** What of a [batch] that was called malformed to send next: as much as the limits in force permit, or one change alone. */
     private fun smaller(
         batch: List<Change>,
         usedFor: StateLimits,
         outcome: TxnOutcome.Malformed,
     ): List<Change> {
+        val first = batch.first()
         if (limits.refused(usedFor)) {
-            keepToLimits()
+            adoptLimits()
         } else if (batch.size > 1) {
-            mostOps = batch.first().writes.size
+            maxOps = first.writes.size
         } else {
-            Log.error("the state service calls a change of ${batch.first().writes.first().key} malformed: ${outcome.reason}")
-            finish(batch, WriteResult.REFUSED)
-            return emptyList()
+            Log.error("the state service calls a change of ${first.writes.first().key} malformed: ${outcome.reason}")
+            return finish(batch, WriteResult.REFUSED)
         }
-        return putBack(batch)
+        return putBackExcess(batch)
     }
 
-    /** Leaves as much of [batch] as may now go at once; the rest is first in the queue again. */
-    private fun putBack(batch: List<Change>): List<Change> {
+    /** Returns as many of [batch] as a transaction may have at present, at least one; the others are first in the queue again. */
+    private fun putBackExcess(batch: List<Change>): List<Change> {
         var ops = 0
-        val kept = batch.takeWhile { c -> (ops == 0 || ops + c.writes.size <= mostOps).also { ops += c.writes.size } }
+        val kept =
+            batch.takeWhile { change ->
+                val first = ops == 0
+                ops += change.writes.size
+                first || ops <= maxOps
+            }
         batch.drop(kept.size).asReversed().forEach { queue.addFirst(it) }
         return kept
     }
 
+    /** Gives [batch] its result; nothing of it remains to be sent. */
     private fun finish(
         batch: List<Change>,
         result: WriteResult,
-    ) = batch.forEach { it.result.complete(result) }
+    ): List<Change> {
+        batch.forEach { it.result.complete(result) }
+        return emptyList()
+    }
 
     private companion object {
-        const val TOO_MANY = 429
-
-        /** Bytes of JSON round one guard or write. */
-        const val OVERHEAD = 90
+        /** Bytes of JSON around one precondition or write. */
+        const val OVERHEAD_BYTES = 90
     }
 }
