--- a/src/main/kotlin/mintfield/io/http/Channels.kt
+++ b/src/main/kotlin/mintfield/io/http/Channels.kt
@@ -18,8 +18,8 @@
 /**
  * Coroutine forms of the NIO.2 channel operations. Cancelling one closes its channel.
  *
- * Completions arrive as events of the loop that the coroutine runs on, so the coroutine goes on within that event: dispatched
- * anew, each operation would wait for its turn in the loop's queue twice.
+ * Completions arrive as events of the loop that the coroutine runs on, and resume it within that event: a dispatch would queue each
+ * operation a second time.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 private class Resume<T> : CompletionHandler<T, CancellableContinuation<T>> {
@@ -40,34 +40,38 @@
 private val resumeVoid = Resume<Void?>()
 private val resumeChannel = Resume<AsynchronousSocketChannel>()
 
+/** Reads what has arrived [into] the buffer; returns the number of bytes, or -1 at the end of the stream. */
 suspend fun AsynchronousSocketChannel.receive(into: ByteBuffer): Int =
-    suspendCancellableCoroutine { c ->
-        c.invokeOnCancellation { closeQuietly() }
-        read(into, c, resumeInt)
+    suspendCancellableCoroutine { continuation ->
+        continuation.invokeOnCancellation { closeQuietly() }
+        read(into, continuation, resumeInt)
     }
 
+/** Writes all remaining [bytes]. */
 suspend fun AsynchronousSocketChannel.sendAll(bytes: ByteBuffer) {
     while (bytes.hasRemaining()) {
-        suspendCancellableCoroutine { c ->
-            c.invokeOnCancellation { closeQuietly() }
-            write(bytes, c, resumeInt)
+        suspendCancellableCoroutine { continuation ->
+            continuation.invokeOnCancellation { closeQuietly() }
+            write(bytes, continuation, resumeInt)
         }
     }
 }
 
+/** Connects. */
 suspend fun AsynchronousSocketChannel.open(to: SocketAddress) {
-    suspendCancellableCoroutine<Void?> { c ->
-        c.invokeOnCancellation { closeQuietly() }
-        connect(to, c, resumeVoid)
+    suspendCancellableCoroutine<Void?> { continuation ->
+        continuation.invokeOnCancellation { closeQuietly() }
+        connect(to, continuation, resumeVoid)
     }
 }
 
-/** The next connection; [start] runs the block that asks for it. */
+/** Accepts the next connection; [start] runs the block that requests it. */
 suspend fun AsynchronousServerSocketChannel.next(start: (() -> Unit) -> Unit): AsynchronousSocketChannel =
-    suspendCancellableCoroutine { c ->
-        start { accept(c, resumeChannel) }
+    suspendCancellableCoroutine { continuation ->
+        start { accept(continuation, resumeChannel) }
     }
 
+/** Closes the channel; that it is closed or broken already does not matter. */
 fun AsynchronousSocketChannel.closeQuietly() {
     try {
         close()
@@ -76,15 +80,12 @@
     }
 }
 
-/** `10.0.0.1:8080` as an address; IPv4 numbers only, so that no name is ever looked up. */
+/** [text], such as `10.0.0.1:8080`, as an address; null if it is none. Only IPv4 numbers, so that no name is ever looked up. */
 fun parseAddress(text: String): InetSocketAddress? {
-    val colon = text.lastIndexOf(':')
-    if (colon <= 0) return null
-    val port = text.substring(colon + 1).toIntOrNull()?.takeIf { it in 1..MAX_PORT } ?: return null
-    val host = text.substring(0, colon)
-    if (!InetAddresses.isInetAddress(host)) return null
-    val address = InetAddresses.forString(host) as? Inet4Address ?: return null
-    return InetSocketAddress(address, port)
+    val port = text.substringAfterLast(':', "").toIntOrNull()?.takeIf { it in 1..MAX_PORT }
+    val host = text.substringBeforeLast(':', "").takeIf { InetAddresses.isInetAddress(it) }
+    val address = host?.let(InetAddresses::forString) as? Inet4Address
+    return if (address == null || port == null) null else InetSocketAddress(address, port)
 }
 
 private const val MAX_PORT = 65_535
--- a/src/main/kotlin/mintfield/io/http/HttpServer.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpServer.kt
@@ -4,7 +4,6 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import mintfield.core.constants.HttpConstants
-import mintfield.io.json.Json
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 import java.io.IOException
@@ -15,26 +14,12 @@
 import java.nio.channels.AsynchronousServerSocketChannel
 import java.nio.channels.AsynchronousSocketChannel
 
-class Response(
-    val status: Int,
-    val body: ByteArray,
-    val retryAfterS: Int? = null,
-    val allow: String? = null,
-    val close: Boolean = false,
-) {
-    /** The same answer, after which the connection is closed. */
-    fun closing() = Response(status, body, retryAfterS, allow, close = true)
-
-    companion object {
-        fun error(
-            status: Int,
-            reason: String,
-            retryAfterS: Int? = null,
-        ) = Response(status, Json.obj { writeStringField("error", reason) }, retryAfterS)
-    }
-}
-
-/** Serves HTTP/1.1 on one address; bounded in connections, in time a peer may take, and in message size. */
+/**
+ * Serves HTTP/1.1 on one address; bounded in connections, in the time that a peer may take, and in message size.
+ *
+ * Requests of one connection are handled one after the other, those of different connections concurrently, all on [loop]. A handler
+ * that throws is answered for with 500.
+ */
 class HttpServer(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
@@ -50,25 +35,31 @@
     private val connections = LinkedHashSet<Connection>()
     private lateinit var listener: AsynchronousServerSocketChannel
 
-    /** Connections that are open now. */
+    /** Connections that are open. */
     val connectionCount: Int get() = connections.size
 
+    /** The port that is served; of use where the address left the choice to the system. */
     val port: Int get() = (listener.localAddress as InetSocketAddress).port
 
+    /**
+     * Starts to serve [address].
+     *
+     * @throws IOException if it cannot be listened on
+     */
     fun start(address: InetSocketAddress) {
         listener = listen(address)
         scope.launch { acceptAll() }
-        scope.launch { sweep() }
+        scope.launch { closeTimedOut() }
     }
 
-    /** Starts as soon as [address] is free: what holds it may let it go, and a controller that serves nobody would be of no use. */
+    /** Starts to serve [address] as soon as it is free. Another process may hold it for a while, such as the one that this replaces. */
     suspend fun startWhenFree(address: InetSocketAddress) {
-        var tries = 0
+        var attempts = 0
         while (true) {
             try {
                 return start(address)
             } catch (e: IOException) {
-                if (tries++ % BIND_LOG_EVERY == 0) Log.error("$address cannot be listened on: ${e.message}; it is tried again")
+                if (attempts++ % BIND_LOG_EVERY == 0) Log.error("$address cannot be listened on: ${e.message}; it is tried again")
                 delay(HttpConstants.BIND_RETRY_MS)
             }
         }
@@ -85,47 +76,53 @@
         }
     }
 
-    /** Closes connections that rest for too long, or take too long over a message. */
-    private suspend fun sweep() {
+    /** Closes connections that are idle for too long, or take too long over a message. */
+    private suspend fun closeTimedOut() {
         while (true) {
             delay(HttpConstants.SERVER_TIMEOUT_CHECK_MS)
             val now = loop.nowMs()
-            for (c in connections) if (now > c.closeAtMs) c.channel.closeQuietly()
+            for (connection in connections) if (now > connection.closeAtMs) connection.channel.closeQuietly()
         }
     }
 
     /**
-     * Connections that are waiting are taken several at a time, ahead of other events: each used to wait for its turn behind
-     * all that was queued, and after a failover workers lost their leases in the kernel's queue.
+     * Accepts connections, several in a row ahead of other events: after a failover all workers connect within a second, and one that
+     * waited for its turn behind all that is queued could lose its lease in the kernel's backlog.
      */
     private suspend fun acceptAll() {
-        var inRow = 0
+        var accepted = 0
         while (true) {
-            val ahead = ++inRow % HttpConstants.MAX_CONSECUTIVE_ACCEPTS != 0
-            val channel =
-                try {
-                    listener.next { accept -> if (ahead) loop.ahead(accept) else accept() }
-                } catch (e: IOException) {
-                    Log.debug("accept failed: $e")
-                    delay(HttpConstants.ACCEPT_BACKOFF_MS)
-                    continue
-                }
-            if (connections.size >= maxConnections) {
-                channel.closeQuietly()
-                continue
+            val ahead = ++accepted % HttpConstants.MAX_CONSECUTIVE_ACCEPTS != 0
+            val channel = accept(ahead)
+            when {
+                channel == null -> delay(HttpConstants.ACCEPT_BACKOFF_MS)
+                connections.size >= maxConnections -> channel.closeQuietly()
+                else -> begin(channel)
             }
-            val connection = Connection(channel, loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS)
-            connections.add(connection)
-            scope.launch {
-                try {
-                    channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-                    serve(connection)
-                } catch (_: IOException) {
-                    // The peer went away; nothing is owed to it.
-                } finally {
-                    connections.remove(connection)
-                    channel.closeQuietly()
-                }
+        }
+    }
+
+    /** The next connection, or null if accepting failed, as it does for lack of sockets. */
+    private suspend fun accept(ahead: Boolean): AsynchronousSocketChannel? =
+        try {
+            listener.next { accept -> if (ahead) loop.ahead(accept) else accept() }
+        } catch (e: IOException) {
+            Log.debug("accept failed: $e")
+            null
+        }
+
+    private fun begin(channel: AsynchronousSocketChannel) {
+        val connection = Connection(channel, loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS)
+        connections.add(connection)
+        scope.launch {
+            try {
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
+                serve(connection)
+            } catch (_: IOException) {
+                // The peer went away; nothing is owed to it.
+            } finally {
+                connections.remove(connection)
+                channel.closeQuietly()
             }
         }
     }
@@ -141,26 +138,29 @@
                     write(connection, Response.error(fault.status, fault.message ?: "bad request"), close = true)
                     return
                 }
-            val response =
-                try {
-                    handler(request)
-                } catch (e: RuntimeException) {
-                    Log.error("${request.first} ${request.second} failed: $e at ${e.stackTrace.take(5)}")
-                    Response.error(500, "internal error")
-                }
+            val response = handle(request)
             val close = response.close || !request.keepAlive
             write(connection, response, close)
             if (close) return
         }
     }
 
+    @Suppress("TooGenericExceptionCaught") // Whatever a handler fails with, its client is owed an answer and the connection goes on.
+    private suspend fun handle(request: HttpMessage): Response =
+        try {
+            handler(request)
+        } catch (e: RuntimeException) {
+            Log.error("${request.method} ${request.path} failed: $e at ${e.stackTrace.take(LOGGED_FRAMES)}")
+            Response.error(HttpStatus.INTERNAL_SERVER_ERROR, "internal error")
+        }
+
     private suspend fun read(
         connection: Connection,
         parser: HttpParser,
         input: ByteBuffer,
     ): HttpMessage? {
         parser.next()?.let { return it }
-        // An idle connection may rest; one that has begun a message must finish it soon.
+        // An idle connection may wait; one that has begun a message must complete it soon.
         connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS
         var begun = false
         while (true) {
@@ -182,12 +182,12 @@
         response: Response,
         close: Boolean,
     ) {
-        val head = StringBuilder(128)
+        val head = StringBuilder(INITIAL_HEAD_CHARS)
         head
             .append("HTTP/1.1 ")
             .append(response.status)
             .append(' ')
-            .append(reason(response.status))
+            .append(HttpStatus.reasonPhrase(response.status))
         head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(response.body.size)
         response.retryAfterS?.let { head.append("\r\nRetry-After: ").append(it) }
         response.allow?.let { head.append("\r\nAllow: ").append(it) }
@@ -198,29 +198,14 @@
     }
 
     private companion object {
-        /** Tries to listen between two lines in the log. */
+        /** Failed attempts to listen between two lines in the log. */
         const val BIND_LOG_EVERY = 40
+        const val LOGGED_FRAMES = 5
+        const val INITIAL_HEAD_CHARS = 128
     }
-
-    private fun reason(status: Int) =
-        when (status) {
-            200 -> "OK"
-            201 -> "Created"
-            400 -> "Bad Request"
-            404 -> "Not Found"
-            405 -> "Method Not Allowed"
-            409 -> "Conflict"
-            413 -> "Content Too Large"
-            421 -> "Misdirected Request"
-            422 -> "Unprocessable Content"
-            429 -> "Too Many Requests"
-            431 -> "Request Header Fields Too Large"
-            501 -> "Not Implemented"
-            503 -> "Service Unavailable"
-            else -> "Status"
-        }
 }
 
+/** A whole message in one buffer, so that it is sent in as few packets as possible. */
 internal fun message(
     head: CharSequence,
     body: ByteArray,
--- a/src/main/kotlin/mintfield/io/loop/EventLoop.kt
+++ b/src/main/kotlin/mintfield/io/loop/EventLoop.kt
@@ -2,12 +2,14 @@
 
 import kotlinx.coroutines.CancellableContinuation
 import kotlinx.coroutines.CoroutineDispatcher
+import kotlinx.coroutines.CoroutineExceptionHandler
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Delay
 import kotlinx.coroutines.DisposableHandle
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import kotlinx.coroutines.Runnable
+import kotlinx.coroutines.SupervisorJob
 import java.util.PriorityQueue
 import java.util.concurrent.AbstractExecutorService
 import java.util.concurrent.LinkedBlockingDeque
@@ -15,8 +17,10 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * The one thread on which everything of this process runs: coroutines, timers and the completions of
- * NIO.2 channels (which take it as their executor).
+ * The single thread on which everything of a controller runs: coroutines, timers and the completions of NIO.2 channels, which take
+ * [executor] as theirs. State that is only touched on the loop needs no locks.
+ *
+ * A failing event is logged and does not end the loop.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
@@ -32,16 +36,19 @@
     /** View of the loop as the executor that an asynchronous channel group asks for. */
     val executor: AbstractExecutorService = LoopExecutor()
 
+    /** Starts the thread. */
     fun start() = thread.start()
 
+    /** Waits until the loop has ended. */
     fun join() = thread.join()
 
+    /** Ends the loop after the event that runs now; what is queued is dropped. */
     fun stop() {
         stopped = true
         queue.add(Runnable { })
     }
 
-    /** Set while [ahead] runs; only used on the loop. */
+    /** Whether [ahead] is running; only used on the loop. */
     private var completionsAhead = false
 
     /**
@@ -57,12 +64,13 @@
         }
     }
 
+    /** Queues [task]; may be called from any thread. */
     fun post(task: Runnable) {
         queue.add(task)
     }
 
     /** Steady time in milliseconds, from an arbitrary origin. */
-    fun nowMs(): Long = System.nanoTime() / 1_000_000
+    fun nowMs(): Long = System.nanoTime() / NANOS_PER_MS
 
     /** When this loop, and so most likely its process, began. */
     val startedAtMs = nowMs()
@@ -72,7 +80,7 @@
         delayMs: Long,
         task: () -> Unit,
     ): Timer {
-        val timer = Timer(System.nanoTime() + delayMs * 1_000_000, sequence++, task)
+        val timer = Timer(System.nanoTime() + delayMs * NANOS_PER_MS, sequence++, task)
         timers.add(timer)
         return timer
     }
@@ -144,14 +152,16 @@
         }
     }
 
+    @Suppress("TooGenericExceptionCaught") // Whatever one event fails with, the others must go on.
     private fun runSafely(task: Runnable) {
         try {
             task.run()
         } catch (e: Exception) {
-            Log.error("an event failed: $e at ${e.stackTrace.take(6)}")
+            Log.error("event failed: $e at ${e.stackTrace.take(LOGGED_FRAMES)}")
         }
     }
 
+    /** A task that runs on the loop at a set time, unless it is cancelled before. */
     class Timer(
         internal val atNanos: Long,
         private val order: Long,
@@ -159,6 +169,7 @@
     ) : Comparable<Timer> {
         internal var cancelled = false
 
+        /** Keeps the task from running; without effect if it has run. Only to be called on the loop. */
         fun cancel() {
             cancelled = true
         }
@@ -195,11 +206,16 @@
     }
 }
 
-/** The scope of coroutines that live as long as the process. */
+private const val NANOS_PER_MS = 1_000_000L
+
+/** Frames of a stack trace that a line of the log shows. */
+private const val LOGGED_FRAMES = 6
+
+/** A scope of coroutines on this loop that live as long as the process; one that fails is logged and does not end the others. */
 fun EventLoop.scope(): CoroutineScope =
     CoroutineScope(
-        this + kotlinx.coroutines.SupervisorJob() +
-            kotlinx.coroutines.CoroutineExceptionHandler { _, e ->
-                Log.error("a coroutine failed: $e at ${e.stackTrace.take(6)}")
+        this + SupervisorJob() +
+            CoroutineExceptionHandler { _, e ->
+                Log.error("coroutine failed: $e at ${e.stackTrace.take(LOGGED_FRAMES)}")
             },
     )
--- a/src/main/kotlin/mintfield/io/loop/Log.kt
+++ b/src/main/kotlin/mintfield/io/loop/Log.kt
@@ -2,7 +2,7 @@
 
 import mintfield.io.json.Json
 
-/** Lines on standard error, at the level of the variable `LOG_LEVEL`. */
+/** The log: lines on standard error, plain or as JSON objects, at the level that the environment variable `LOG_LEVEL` names. */
 object Log {
     private enum class Level { ERROR, INFO, DEBUG }
 
@@ -13,18 +13,21 @@
             else -> Level.ERROR
         }
 
-    /** Set once at the start, before anything is logged. */
+    /** Whether lines are JSON objects. Set once at the start, before anything is logged. */
     var json = false
 
-    val infoOn: Boolean get() = level >= Level.INFO
-    val debugOn: Boolean get() = level >= Level.DEBUG
+    private val infoOn: Boolean get() = level >= Level.INFO
+    private val debugOn: Boolean get() = level >= Level.DEBUG
 
+    /** Logs what an operator must look at. */
     fun error(line: String) = write("ERROR", line)
 
+    /** Logs what an operator wants to follow. */
     fun info(line: String) {
         if (infoOn) write("INFO", line)
     }
 
+    /** Logs what only a developer needs. */
     fun debug(line: String) {
         if (debugOn) write("DEBUG", line)
     }
--- a/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
+++ b/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
@@ -4,7 +4,10 @@
 import kotlinx.coroutines.suspendCancellableCoroutine
 import kotlin.coroutines.resume
 
-/** Lets through [rate] permits a second with bursts of [burst]; the urgent go before the rest. */
+/**
+ * Token bucket: lets through [rate] permits a second with bursts of [burst]. Callers that wait are served in order, the urgent ones
+ * before the others. To be used on [loop] only.
+ */
 class RateLimiter(
     private val loop: EventLoop,
     rate: Double,
@@ -15,7 +18,7 @@
         val continuation: CancellableContinuation<Unit>,
     )
 
-    /** Permits a second from now on. */
+    /** Permits a second; a change holds from now on. */
     var rate = rate
         set(value) {
             fill()
@@ -27,7 +30,7 @@
     private val others = ArrayDeque<Waiter>()
     private var timer: EventLoop.Timer? = null
 
-    /** From now on lets through [rate] permits a second with bursts of [burst]. */
+    /** Lets through, from now on, [rate] permits a second with bursts of [burst]. */
     fun limit(
         rate: Double,
         burst: Double,
@@ -36,7 +39,7 @@
         this.burst = burst
     }
 
-    /** Permits that could be had at once. */
+    /** Permits that could be taken without waiting; none while others wait. */
     val available: Double
         get() {
             fill()
@@ -49,6 +52,7 @@
         tokens -= cost
     }
 
+    /** Waits for [cost] permits and takes them; more than a burst holds are granted once the bucket is full. */
     suspend fun acquire(
         cost: Double = 1.0,
         urgentCall: Boolean = false,
@@ -58,15 +62,15 @@
             tokens -= cost
             return
         }
-        suspendCancellableCoroutine { c ->
-            (if (urgentCall) urgent else others).addLast(Waiter(cost, c))
+        suspendCancellableCoroutine { continuation ->
+            (if (urgentCall) urgent else others).addLast(Waiter(cost, continuation))
             arm()
         }
     }
 
     private fun fill() {
         val now = System.nanoTime()
-        tokens = minOf(burst, tokens + (now - filledAt) / 1e9 * rate)
+        tokens = minOf(burst, tokens + (now - filledAt) / NANOS_PER_S * rate)
         filledAt = now
     }
 
@@ -74,7 +78,7 @@
         if (timer != null) return
         val head = urgent.firstOrNull() ?: others.firstOrNull() ?: return
         val need = minOf(head.cost, burst)
-        val waitMs = Math.ceil(maxOf(0.0, need - tokens) / rate * 1000).toLong().coerceAtLeast(1)
+        val waitMs = Math.ceil(maxOf(0.0, need - tokens) / rate * MS_PER_S).toLong().coerceAtLeast(1)
         timer =
             loop.after(waitMs) {
                 timer = null
@@ -97,4 +101,9 @@
             head.continuation.resume(Unit)
         }
     }
+
+    private companion object {
+        const val NANOS_PER_S = 1e9
+        const val MS_PER_S = 1000.0
+    }
 }
