--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -97,7 +97,10 @@
     fun hasHeardFrom(heartbeat: Heartbeat) = (scheduler.cluster.machines[heartbeat.machine]?.lastContactAtMs ?: 0) > 0
 
     /** Whether its last heartbeat came by way of a peer. */
-    fun wasRelayed(heartbeat: Heartbeat) = scheduler.cluster.machines[heartbeat.machine]?.relayed ?: false
+    fun wasRelayed(heartbeat: Heartbeat) =
+        scheduler.cluster.machines[heartbeat.machine]
+            ?.directRoute
+            ?.relayed ?: false
 
     fun directHeartbeat(heartbeat: Heartbeat) = directRouteRecovery.directHeartbeat(heartbeat.zone, loop.nowMs())
 
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -30,11 +30,15 @@
 
     private fun learned(): LearnedState {
         val sizes = HashMap<String, Double>()
-        cluster.machines.values.forEach { sizes.putAll(it.cachedImages) }
+        cluster.machines.values.forEach { sizes.putAll(it.images.cached) }
         val images =
             cluster.machines.values
-                .filter { it.cachedImages.isNotEmpty() }
-                .associate { it.id to it.cachedImages.keys.toList() }
+                .filter { it.images.cached.isNotEmpty() }
+                .associate {
+                    it.id to
+                        it.images.cached.keys
+                            .toList()
+                }
         val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.probes }
         return LearnedState(sizes, images, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -127,7 +127,7 @@
         for ((id, probes) in learnedState.suspectJobs) cluster.jobs[id]?.let { heartbeats.failureAttribution.restore(it, probes) }
         for ((id, images) in learnedState.machineImages) {
             val m = cluster.machines[id] ?: continue
-            images.forEach { image -> learnedState.imageGb[image]?.let { m.imageUsed(image, it) } }
+            images.forEach { image -> learnedState.imageGb[image]?.let { m.images.markPresent(image, it) } }
         }
     }
 
@@ -226,22 +226,21 @@
         val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
         if (!loaded) {
             if (!mayRenew) return HeartbeatResponse.RenewalRefused
-            known(heartbeat, nowMs)?.leaseRenewedAtMs = nowMs
+            known(heartbeat, nowMs)?.lease?.renew(nowMs)
             if (renewed.add(heartbeat.machine)) lastRenewedMs = nowMs
             return stops(heartbeat)
         }
         val m = known(heartbeat, nowMs) ?: return if (mayRenew) stops(heartbeat) else HeartbeatResponse.RenewalRefused
-        m.relayed = relayed
-        m.viaRelayPeer = viaRelayPeer
+        m.directRoute.heartbeatCame(relayed, viaRelayPeer)
         if (m.state == MachineState.PROVISIONING &&
             heartbeat.incarnation == 1L &&
             heartbeat.termSeen == 0L
         ) {
-            fleet.bootTimes.cameUp(m, nowMs - m.firstSeenAtMs, nowMs)
+            fleet.bootTimes.cameUp(m, nowMs - m.origin.firstSeenAtMs, nowMs)
         }
         val fresh = heartbeats.take(m, heartbeat, viaHeartbeat = true, nowMs)
         if (!mayRenew || (!mayAct && heartbeats.mayStartCancelled(m, heartbeat))) return HeartbeatResponse.RenewalRefused
-        m.leaseRenewedAtMs = nowMs
+        m.lease.renew(nowMs)
         if (!fresh || !mayAct) return stops(heartbeat)
         return HeartbeatResponse.Commands(token, heartbeats.commands(m, viaHeartbeat = true, nowMs))
     }
@@ -282,9 +281,9 @@
         heartbeat: Heartbeat,
         nowMs: Long,
     ): Machine? {
-        val m = fleet.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        val m = fleet.registry.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
         if (m == null || !m.provisional) return m
-        return fleet.redescribe(m, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        return fleet.registry.redescribe(m, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
     }
 
     fun directCalls(
--- a/src/main/kotlin/mintfield/core/fleet/BootTimes.kt
+++ b/src/main/kotlin/mintfield/core/fleet/BootTimes.kt
@@ -1,49 +1,55 @@
 package mintfield.core.fleet
 
 import mintfield.core.constants.FleetConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.model.MachineType
 
 /**
- * How long machines took to come up lately, by type and zone. One that takes longer is late: it may still come, so it is not
- * returned, but what was hoped of it is provisioned elsewhere. Many late at once speak of the cloud, and move what counts as late.
+ * How long machines of each type and zone took to boot lately, and from when on one is overdue. An overdue machine may still come, so it
+ * is not released, but its capacity is provisioned elsewhere. When many boots take long at once, the cloud is slow, and the limit rises.
  */
 class BootTimes {
-    private class Seen(
-        val times: Double,
+    private data class Origin(
+        val type: String,
+        val zone: String,
+    )
+
+    /** One boot that took [factor] times the usual boot time of its type. */
+    private class Boot(
+        val factor: Double,
         val atMs: Long,
     )
 
-    private val seen = HashMap<Pair<String, String>, ArrayDeque<Seen>>()
+    private val boots = HashMap<Origin, ArrayDeque<Boot>>()
 
-    /** A machine reports for the first time, [tookMs] after it was provisioned. */
+    /** [machine] sends its first heartbeat [tookMs] milliseconds after it was provisioned. */
     fun cameUp(
-        m: Machine,
+        machine: Machine,
         tookMs: Long,
         nowMs: Long,
     ) {
-        val list = seen.getOrPut(m.type.name to m.zone) { ArrayDeque() }
-        list.addLast(Seen(tookMs / (m.type.bootS * MS), nowMs))
-        if (list.size > MOST) list.removeFirst()
+        val recent = boots.getOrPut(Origin(machine.type.name, machine.zone)) { ArrayDeque() }
+        recent.addLast(Boot(tookMs / (machine.type.bootS * TimeUnits.MS_PER_SECOND), nowMs))
+        if (recent.size > MAX_BOOTS) recent.removeFirst()
     }
 
-    /** Milliseconds from its scale-out request after which a machine of [type] in [zone] is late. */
+    /** Milliseconds from its scale-out request after which a machine of [type] in [zone] is overdue. */
     fun overdueAfterMs(
         type: MachineType,
         zone: String,
         nowMs: Long,
     ): Long {
-        val lately = seen[type.name to zone]?.filter { nowMs - it.atMs < FleetConstants.BOOT_TIMES_KEPT_MS }?.maxOfOrNull { it.times } ?: 0.0
-        return (type.bootS * MS * maxOf(FleetConstants.OVERDUE_BOOT_FACTOR, lately * SLACK).coerceAtMost(FleetConstants.BOOT_TIMEOUT_FACTOR)).toLong() +
-            FleetConstants.OVERDUE_BOOT_SLACK_MS
+        val recent = boots[Origin(type.name, zone)]?.filter { nowMs - it.atMs < FleetConstants.BOOT_TIMES_KEPT_MS }
+        val longest = recent?.maxOfOrNull { it.factor } ?: 0.0
+        val factor = maxOf(FleetConstants.OVERDUE_BOOT_FACTOR, longest * LONGEST_BOOT_FACTOR).coerceAtMost(FleetConstants.BOOT_TIMEOUT_FACTOR)
+        return (type.bootS * TimeUnits.MS_PER_SECOND * factor).toLong() + FleetConstants.OVERDUE_BOOT_SLACK_MS
     }
 
     private companion object {
-        const val MS = 1000.0
-
         /** Boots remembered of one type and zone. */
-        const val MOST = 32
+        const val MAX_BOOTS = 32
 
-        /** Times the longest boot seen lately that another may take. */
-        const val SLACK = 1.2
+        /** Times the longest recent boot that another may take. */
+        const val LONGEST_BOOT_FACTOR = 1.2
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
@@ -7,106 +7,142 @@
 import mintfield.core.model.MachineType
 import mintfield.core.model.Shape
 
-/** Decides how many machines are wanted, of which type, zone and kind, and which of those there are may be returned as idle. */
+/** The autoscaler: compares the demand for CPUs with the capacity there is, requests what is missing and releases what is idle. */
 class FleetSizing(
     private val cluster: Cluster,
     private val bootTimes: BootTimes,
-    private val scheduleRelease: (Machine, Long, String) -> Unit,
+    releases: MachineReleases,
     private val log: (String) -> Unit,
 ) {
-    private data class Offer(
-        val type: MachineType,
-        val zone: String,
+    /** CPUs that are in demand. */
+    private class Demand(
+        val services: Double,
+        val all: Double,
+    )
+
+    /** CPUs of the machines that are expected to last. */
+    private class Capacity(
+        val ordinary: Double,
+        val spot: Double,
+    )
+
+    /** What a job requires of a machine, however much room there is. */
+    private data class Requirement(
+        val types: Set<String>,
+        val zone: String?,
         val spot: Boolean,
     )
 
-    /** Scale-out requests that are wanted; to be written as intents before they are asked for. */
-    val wantedIntents = ArrayDeque<ScaleOutIntent>()
-    private val refusedUntil = HashMap<Offer, Long>()
-    private val refusalPause = HashMap<Offer, Long>()
-    private val idleSince = HashMap<String, Long>()
+    private val offers = ScaleOutOffers(cluster)
+    private val idleMachines = IdleMachines(cluster, releases)
     private var intentNumber = 0
 
-    /** The cloud has let what [intent] asked for. */
-    fun granted(intent: ScaleOutIntent) {
-        cluster.types[intent.type]?.let { refusalPause.remove(Offer(it, intent.zone, intent.spot)) }
-    }
+    /** Scale-out requests that are wanted; to be written as intents before they are carried out. */
+    val wantedIntents = ArrayDeque<ScaleOutIntent>()
+
+    /** The cloud has provisioned machines for [intent]. */
+    fun granted(intent: ScaleOutIntent) = offers.granted(intent)
 
-    /** The cloud had less than [intent] asked for: the same is not asked for again for a while. */
+    /** The cloud had less capacity than [intent] asked for: the same is not requested again for a while. */
     fun refused(
         intent: ScaleOutIntent,
         nowMs: Long,
-    ) {
-        val type = cluster.types[intent.type] ?: return
-        val offer = Offer(type, intent.zone, intent.spot)
-        val pause = (refusalPause[offer]?.times(2) ?: FleetConstants.NO_CAPACITY_BACKOFF_MS).coerceAtMost(FleetConstants.MAX_NO_CAPACITY_BACKOFF_MS)
-        refusalPause[offer] = pause
-        refusedUntil[offer] = nowMs + pause
-    }
+    ) = offers.refused(intent, nowMs)
 
-    /** [m] was returned: its place may be let again, and a refusal from before says nothing any more. */
-    fun capacityFreed(m: Machine) {
-        val offer = Offer(m.type, m.zone, m.spot)
-        refusedUntil.remove(offer)
-        refusalPause.remove(offer)
-    }
+    /** [machine] was released: its capacity may be provisioned again. */
+    fun capacityFreed(machine: Machine) = offers.capacityFreed(machine)
 
     /** The machine [id] is not this leader's any more. */
-    fun left(id: String) {
-        idleSince.remove(id)
+    fun forget(id: String) = idleMachines.forget(id)
+
+    /** Requests the machines that are missing, or else releases an idle one. */
+    fun resize(nowMs: Long) {
+        val demand = demand()
+        val capacity = capacity(nowMs)
+        val mayScaleOut = cluster.ownership.scaleOutHeadroom > 0
+        if (mayScaleOut && requestForUnplaceableJob(nowMs)) return
+        val headroom = cluster.settings.operator.headroom
+        val missingOrdinary = demand.services * headroom - capacity.ordinary
+        val missing = demand.all * headroom - capacity.ordinary - capacity.spot
+        if (missing <= 0 && missingOrdinary <= 0) return idleMachines.releaseOne(nowMs, spareCpus = -missing)
+        idleMachines.clear()
+        if (mayScaleOut) requestCapacity(missing, missingOrdinary, nowMs)
     }
 
-    /** Compares what is wanted with what is there, and wishes for what is missing. */
-    fun look(nowMs: Long) {
+    private fun demand(): Demand {
         var arrays = 0.0
         var services = 0.0
         for (job in cluster.jobs.values) {
             if (job.cancelled) continue
-            val want = job.demand * job.spec.cpus
-            if (job.spec.shape == Shape.SERVICE) services += want else arrays += want
+            val cpus = job.demand * job.spec.cpus
+            if (job.spec.shape == Shape.SERVICE) services += cpus else arrays += cpus
         }
+        return Demand(services, services + arrays)
+    }
+
+    /**
+     * Of overdue machines all but a fraction counts as capacity: if the cloud is slow to boot, replacing each of them would provision
+     * without end.
+     */
+    private fun capacity(nowMs: Long): Capacity {
         var ordinary = 0.0
         var spot = 0.0
         var overdue = 0.0
-        for (m in cluster.machines.values) {
-            if (!m.expectedToLast) continue
-            if (overdue(m, nowMs)) {
-                overdue += m.type.cpus
-                continue
+        for (machine in cluster.machines.values) {
+            if (!machine.expectedToLast) continue
+            when {
+                isOverdue(machine, nowMs) -> overdue += machine.type.cpus
+                machine.spot -> spot += machine.type.cpus
+                else -> ordinary += machine.type.cpus
             }
-            if (m.spot) spot += m.type.cpus else ordinary += m.type.cpus
         }
-        // Of late machines a part is hoped for all the same, or trouble of the cloud would have us rent without end.
         ordinary += maxOf(0.0, overdue - (ordinary + spot) * FleetConstants.OVERDUE_REPLACEMENT_FRACTION)
-        val mayScaleOut = cluster.ownership.scaleOutHeadroom > 0
-        if (mayScaleOut && unplaceableJob()?.let { requestScaleOutFor(it, nowMs) } == true) return
-        val ordinaryShort = services * cluster.settings.operator.headroom - ordinary
-        val allShort = (services + arrays) * cluster.settings.operator.headroom - ordinary - spot
-        if (allShort <= 0 && ordinaryShort <= 0) return releaseIdle(nowMs, -allShort)
-        idleSince.clear()
-        if (!mayScaleOut) return
-        val offer = choose(nowMs) { !it.spot || ordinaryShort <= 0 } ?: return
-        val number = Math.ceil(maxOf(allShort, ordinaryShort) / offer.type.cpus).toInt().coerceIn(1, scaleOutBatch())
-        requestScaleOut(offer, number, "short of ${allShort.toInt()} CPUs")
+        return Capacity(ordinary, spot)
+    }
+
+    private fun isOverdue(
+        machine: Machine,
+        nowMs: Long,
+    ): Boolean {
+        if (machine.state != MachineState.PROVISIONING || machine.attempts.isNotEmpty()) return false
+        return nowMs - machine.origin.firstSeenAtMs > bootTimes.overdueAfterMs(machine.type, machine.zone, nowMs)
+    }
+
+    /** Number of machines that are overdue to come up. */
+    fun overdueCount(nowMs: Long): Int = cluster.machines.values.count { isOverdue(it, nowMs) }
+
+    private fun requestCapacity(
+        missingCpus: Double,
+        missingOrdinaryCpus: Double,
+        nowMs: Long,
+    ) {
+        val offer = offers.cheapest(nowMs) { !it.spot || missingOrdinaryCpus <= 0 } ?: return
+        request(offer, maxOf(missingCpus, missingOrdinaryCpus), "short of ${missingCpus.toInt()} CPUs")
+    }
+
+    /** Requests machines for a job that none could hold even if it were empty; false if there is no such job or no offer for it. */
+    private fun requestForUnplaceableJob(nowMs: Long): Boolean {
+        val job = unplaceableJob() ?: return false
+        val offer = offers.cheapest(nowMs) { mayHold(job, it.type, it.zone, it.spot) } ?: return false
+        request(offer, job.schedulableTasks * job.spec.cpus, "no machine can hold a task of ${job.id}")
+        return true
     }
 
-    private fun requestScaleOut(
-        offer: Offer,
-        number: Int,
+    private fun request(
+        offer: ScaleOutOffer,
+        cpus: Double,
         reason: String,
     ) {
+        val number = Math.ceil(cpus / offer.type.cpus).toInt().coerceIn(1, maxBatch())
         wantedIntents.add(ScaleOutIntent("mf-${cluster.term}-${++intentNumber}", offer.type.name, offer.zone, offer.spot, number))
         log("scale-out wanted: $number ${offer.type.name} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $reason")
     }
 
-    private fun requestScaleOutFor(
-        job: Job,
-        nowMs: Long,
-    ): Boolean {
-        val offer = choose(nowMs) { mayHold(job, it.type, it.zone, it.spot) } ?: return false
-        val number = Math.ceil(job.schedulableTasks * job.spec.cpus / offer.type.cpus).toInt().coerceIn(1, scaleOutBatch())
-        requestScaleOut(offer, number, "no machine can hold a task of ${job.id}")
-        return true
+    /** Machines that one request may ask for. */
+    private fun maxBatch(): Int {
+        val fractionOfFleet = (cluster.machines.size * FleetConstants.SCALE_OUT_BATCH_FRACTION).toInt()
+        return maxOf(FleetConstants.MIN_SCALE_OUT_BATCH, fractionOfFleet)
+            .coerceAtMost(minOf(FleetConstants.MAX_SCALE_OUT_BATCH, cluster.ownership.scaleOutHeadroom))
     }
 
     private fun mayHold(
@@ -116,69 +152,16 @@
         spot: Boolean,
     ) = type.name in job.compatibleTypes && (job.spec.zone == null || job.spec.zone == zone) && (job.spec.spot || !spot)
 
-    /** A job that no machine could hold even if it were empty, however many CPUs there are: its zone may have lost its last. */
+    /** A job that no machine could hold even if it were empty, however many CPUs there are: its zone may have lost its last one. */
     private fun unplaceableJob(): Job? {
-        val served = HashSet<Triple<Set<String>, String?, Boolean>>()
+        val served = HashSet<Requirement>()
         for (job in cluster.jobs.values) {
             if (job.cancelled || job.schedulableTasks == 0) continue
-            val key = Triple(job.compatibleTypes, job.spec.zone, job.spec.spot)
-            if (key in served) continue
+            val requirement = Requirement(job.compatibleTypes, job.spec.zone, job.spec.spot)
+            if (requirement in served) continue
             if (cluster.machines.values.none { it.expectedToLast && !it.provisional && mayHold(job, it.type, it.zone, it.spot) }) return job
-            served.add(key)
+            served.add(requirement)
         }
         return null
     }
-
-    private fun overdue(
-        m: Machine,
-        nowMs: Long,
-    ) = m.state == MachineState.PROVISIONING && m.attempts.isEmpty() && nowMs - m.firstSeenAtMs > bootTimes.overdueAfterMs(m.type, m.zone, nowMs)
-
-    /** Machines that are late to come up. */
-    fun overdueCount(nowMs: Long): Int = cluster.machines.values.count { overdue(it, nowMs) }
-
-    private fun scaleOutBatch() =
-        maxOf(
-            FleetConstants.MIN_SCALE_OUT_BATCH,
-            (cluster.machines.size * FleetConstants.SCALE_OUT_BATCH_FRACTION).toInt(),
-        ).coerceAtMost(minOf(FleetConstants.MAX_SCALE_OUT_BATCH, cluster.ownership.scaleOutHeadroom))
-
-    private fun choose(
-        nowMs: Long,
-        fit: (Offer) -> Boolean,
-    ): Offer? {
-        val offers = ArrayList<Offer>()
-        for (t in cluster.types.values) {
-            for (z in t.zones) {
-                offers.add(Offer(t, z, false))
-                offers.add(Offer(t, z, true))
-            }
-        }
-        return offers
-            .filter { fit(it) && (refusedUntil[it] ?: Machine.NEVER) <= nowMs }
-            .minWithOrNull(
-                compareBy<Offer> { if (it.spot) it.type.spotPrice / it.type.cpus else it.type.price / it.type.cpus }
-                    .thenBy { it.type.bootS }
-                    .thenBy { o -> cluster.machines.values.count { it.zone == o.zone } },
-            )
-    }
-
-    private fun releaseIdle(
-        nowMs: Long,
-        spare: Double,
-    ) {
-        if (!cluster.ownership.maySpare) return
-        for (m in cluster.machines.values) {
-            if (m.inUse || m.state != MachineState.UP || m.type.cpus > spare) {
-                idleSince.remove(m.id)
-                continue
-            }
-            val since = idleSince.getOrPut(m.id) { nowMs }
-            val patience = if (cluster.jobs.isEmpty()) FleetConstants.IDLE_RELEASE_WITHOUT_JOBS_MS else cluster.settings.operator.idleReleaseMs
-            if (nowMs - since > patience) {
-                idleSince.remove(m.id)
-                return scheduleRelease(m, nowMs, "idle and not needed")
-            }
-        }
-    }
 }
--- a/src/main/kotlin/mintfield/core/fleet/Machine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Machine.kt
@@ -4,276 +4,133 @@
 import mintfield.core.jobs.AttemptState
 import mintfield.core.model.Heartbeat
 import mintfield.core.model.MachineType
-import mintfield.core.model.Shape
 
-enum class MachineState {
-    /** Rented; its worker has not reported to this leader. */
-    PROVISIONING,
-
-    /** Reports. */
-    UP,
-
-    /** Has reported, but not lately. Takes no new tasks; what it holds stays its own until proof of release. */
-    UNRESPONSIVE,
-
-    /** To be returned: takes no new tasks. */
-    RELEASING,
-
-    /** Return asked of the cloud, answer awaited. */
-    TERMINATING,
-
-    /** The cloud confirmed that it and everything on it are gone. */
-    TERMINATED,
-
-    /** Another share owns it. What is planned there stays so until its owner has told what became of it. */
-    OWNED_ELSEWHERE,
-}
-
-/** A provisioned machine as the leader knows it, with the attempts that occupy it. */
+/**
+ * A provisioned machine as its leader knows it, with the attempts that occupy it. Each of its components owns one part of that state
+ * and is changed through its own functions. Used on the leader's event loop only; times are steady milliseconds.
+ */
 class Machine(
     val id: String,
     val type: MachineType,
     val zone: String,
     val spot: Boolean,
 ) {
+    /** The stage of its life. */
     var state = MachineState.PROVISIONING
         private set
+
+    /** When [state] last changed. */
     var stateSinceMs = 0L
         private set
-    var address: String? = null
-    var incarnation = 0L
-    var sequence = 0L
-    var termSeen = 0L
-    var lastContactAtMs = NEVER
-
-    /** When its last heartbeat of its own came, and not in answer to a command: only those are answered, which renews its lease. */
-    var lastHeartbeatAtMs = NEVER
-
-    /** When its lease last began, at the latest: a heartbeat of it was answered, which may have reached it, or a incarnation showed. */
-    var leaseRenewedAtMs = NEVER
 
-    /** Whether our answers and commands reach it. */
-    val reachability = Reachability()
+    /** How the machine became known. */
+    val origin = MachineOrigin()
 
-    /**
-     * Lowest term that its worker must have seen for tasks to be planned here. A new leader cannot tell a late copy of an
-     * old heartbeat from a new one, and the machine that sent it may be long gone; what has seen our term lives in our tenure.
-     */
-    var requiredTerm = 0L
+    /** What its heartbeats have shown. */
+    val heartbeats = HeartbeatRecord()
 
-    /** Known only by name, from a plan: type, zone and kind are guesses until a heartbeat or the list tells them. */
-    var provisional = false
-    var firstSeenAtMs = 0L
-    var firstListedAtMs = NEVER
-    var listedAtMs = NEVER
+    /** The lease of its worker. */
+    val lease = WorkerLease()
 
-    /** When the cloud will take it, if it has said so. */
-    var terminationAtMs: Long? = null
+    /** The terms that fence commands to it. */
+    val fencing = FencingTerms()
 
-    /**
-     * Highest term of a direct start to this machine that may still be under way. Nothing is cleared or taken for absent
-     * there until the worker has seen a higher term, since a late copy could start a task again.
-     */
-    var unacknowledgedTerm = 0L
-    var directInFlight = false
+    /** Whether responses and commands reach it. */
+    val reachability = Reachability()
 
-    /** Its last heartbeat came by way of a peer: most likely nothing that is sent to it straight would arrive. */
-    var relayed = false
+    /** The route of direct commands to it. */
+    val directRoute = DirectRoute()
 
-    /** That is so because it was sent there, so it may well be reached. */
-    var viaRelayPeer = false
-    var directPausedUntilMs = 0L
+    /** What takes room on it. */
+    val occupancy = Occupancy(type)
 
-    /** Lowest token of commands to it: the revision at which it became this leader's, 0 while one leader owns all. */
-    var epoch = 0L
+    /** The images on it. */
+    val images = ImageCache(type)
 
-    /** When it was adopted from another owner: with tasks most likely, so it must report soon. */
-    var adoptedAtMs = NEVER
+    /** Failures of tasks on it, and the quarantine that follows from them. */
+    val failureRecord = FailureRecord()
 
-    val attempts = LinkedHashSet<Attempt>()
+    /** See [HeartbeatRecord.incarnation]. */
+    val incarnation: Long get() = heartbeats.incarnation
 
-    /** Tasks here whose jobs another share's leader schedules. */
-    val foreignTasks = ForeignTasks()
+    /** See [HeartbeatRecord.termSeen]. */
+    val termSeen: Long get() = heartbeats.termSeen
 
-    /** Attempts by state, and by image: asked for at every round, so never counted anew. */
-    private val byState = IntArray(AttemptState.entries.size)
-    private val byImage = HashMap<String, Int>()
+    /** See [HeartbeatRecord.latest]. */
+    val lastHeartbeat: Heartbeat? get() = heartbeats.latest
 
-    /** Images that tasks here wait for, with their sizes. */
-    private val fetching = HashMap<String, Double>()
+    /** See [HeartbeatRecord.lastContactAtMs]. */
+    val lastContactAtMs: Long get() = heartbeats.lastContactAtMs
 
-    /** CPUs that replicas of services occupy here. */
-    var serviceCpus = 0.0
-        private set
+    /** See [MachineOrigin.provisional]. */
+    val provisional: Boolean get() = origin.provisional
 
-    /**
-     * The last heartbeat agreed with what is planned and left nothing to order. Until an attempt here changes or another
-     * list of tasks comes, there is nothing to do.
-     */
-    var reconciled = false
-    var cpus = 0.0
-        private set
-    var gpus = 0.0
-        private set
-    var memoryGb = 0.0
-        private set
+    /** See [Occupancy.attempts]. */
+    val attempts: Set<Attempt> get() = occupancy.attempts
 
-    var lastHeartbeat: Heartbeat? = null
+    /** See [Occupancy.foreignTasks]. */
+    val foreignTasks: ForeignTasks get() = occupancy.foreignTasks
 
-    /** Failures since the last success, and the jobs that they struck of which it is not known whether they can succeed. */
-    val suspectJobs = HashSet<String>()
-    var failures = 0
+    /** See [Occupancy.freeCpus]. */
+    val freeCpus: Double get() = occupancy.freeCpus
 
-    /** Of those, the ones of jobs whose tasks succeed elsewhere. */
-    var attributedFailures = 0
+    /** See [Occupancy.freeGpus]. */
+    val freeGpus: Double get() = occupancy.freeGpus
 
-    /** No tasks before that, since it does not hear well or refused some. */
-    var backoffUntilMs = 0L
+    /** See [Occupancy.freeMemoryGb]. */
+    val freeMemoryGb: Double get() = occupancy.freeMemoryGb
 
-    /** No tasks before that, since it fails them. */
-    var quarantinedUntilMs = 0L
+    /** See [Occupancy.inUse]. */
+    val inUse: Boolean get() = occupancy.inUse
 
-    private val images = LinkedHashMap<String, Double>(16, 0.75f, true)
-    private var imagesGb = 0.0
-
-    val freeCpus: Double get() = type.cpus - cpus - foreignTasks.cpus
-    val freeGpus: Double get() = type.gpus - gpus - foreignTasks.gpus
-    val freeMemoryGb: Double get() = type.memoryGb - memoryGb - foreignTasks.memoryGb
-
-    /** Whether any task holds room here. */
-    val inUse: Boolean get() = attempts.isNotEmpty() || !foreignTasks.isEmpty
+    /** Whether it is, or will most likely be, of use for a while. */
+    val expectedToLast: Boolean
+        get() =
+            (state == MachineState.UP || state == MachineState.PROVISIONING) &&
+                heartbeats.terminationAtMs == null &&
+                reachability.state != ReachabilityState.UNREACHABLE
 
-    /** The only place where a machine changes its state. */
+    /** Moves the machine to [next]; the only place where its state changes. Throws [IllegalStateException] if that move is not allowed. */
     fun moveTo(
         next: MachineState,
         nowMs: Long,
     ) {
         if (next == state) return
-        check(next in allowed.getValue(state)) { "$id: $state to $next" }
+        check(state.mayBecome(next)) { "$id: $state to $next" }
         state = next
         stateSinceMs = nowMs
     }
 
-    fun occupy(a: Attempt) {
-        if (!attempts.add(a)) return
-        reconciled = false
-        byState[a.state.ordinal]++
-        byImage.merge(a.job.spec.image, 1, Int::plus)
-        if (!hasImage(a.job.spec.image)) fetching[a.job.spec.image] = a.job.spec.imageGb
-        if (a.job.spec.shape == Shape.SERVICE) serviceCpus += a.job.spec.cpus
-        cpus += a.job.spec.cpus
-        gpus += a.job.spec.gpus
-        memoryGb += a.job.spec.memoryGb
-    }
-
-    fun vacate(a: Attempt) {
-        if (!attempts.remove(a)) return
-        reconciled = false
-        // Used until now: reading it makes it the latest.
-        images[a.job.spec.image]
-        byState[a.state.ordinal]--
-        byImage.computeIfPresent(a.job.spec.image) { _, n -> if (n > 1) n - 1 else null }
-        if (!awaitsImage(a.job.spec.image)) fetching.remove(a.job.spec.image)
-        if (a.job.spec.shape == Shape.SERVICE) serviceCpus -= a.job.spec.cpus
-        if (attempts.isEmpty()) {
-            serviceCpus = 0.0
-            cpus = 0.0
-            gpus = 0.0
-            memoryGb = 0.0
-            return
-        }
-        cpus -= a.job.spec.cpus
-        gpus -= a.job.spec.gpus
-        memoryGb -= a.job.spec.memoryGb
+    /** Assigns room to [attempt]. */
+    fun occupy(attempt: Attempt) {
+        if (occupancy.add(attempt)) images.addTask(attempt.job.spec.image, attempt.job.spec.imageGb)
     }
 
-    /** An attempt here changes its state. */
-    fun counted(
-        from: AttemptState,
-        to: AttemptState,
-    ) {
-        reconciled = false
-        byState[from.ordinal]--
-        byState[to.ordinal]++
-    }
-
-    fun count(state: AttemptState): Int = byState[state.ordinal]
-
-    /** Whether a task that needs [image] is planned or at work here, so that the image is there or on its way. */
-    fun awaitsImage(image: String) = byImage.containsKey(image)
-
-    fun holds(
-        cpus: Double,
-        gpus: Double,
-        memoryGb: Double,
-    ) = cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memoryGb <= freeMemoryGb + EPSILON
-
-    /** Notes that [image] is on the machine, dropping the least recently used ones as the worker would. */
-    fun imageUsed(
-        image: String,
-        gb: Double,
-    ) {
-        if (images.get(image) != null) return
-        images[image] = gb
-        fetching.remove(image)
-        imagesGb += gb
-        val oldest = images.entries.iterator()
-        while (imagesGb > type.cacheGb && oldest.hasNext()) {
-            val entry = oldest.next()
-            // What a task here needs is in use, however long ago we heard of it.
-            if (entry.key == image || awaitsImage(entry.key)) continue
-            imagesGb -= entry.value
-            oldest.remove()
-        }
+    /** Frees the room of [attempt]. */
+    fun vacate(attempt: Attempt) {
+        if (occupancy.remove(attempt)) images.removeTask(attempt.job.spec.image)
     }
 
-    fun hasImage(image: String) = images.containsKey(image)
+    /** Number of attempts here in [state]. */
+    fun count(state: AttemptState): Int = occupancy.count(state)
 
-    /** Seconds until [image] is here, if all fetches of this machine share its rate. */
-    fun fetchS(
-        image: String,
-        gb: Double,
-    ): Double {
-        if (hasImage(image)) return 0.0
-        val gbBefore = fetching.values.sum() + if (image in fetching) 0.0 else gb
-        return gbBefore / maxOf(type.fetchGbPerS, 1e-6)
-    }
-
-    /** Images on the machine with their sizes, the least recently used first. */
-    val cachedImages: Map<String, Double> get() = images
-
-    /** Whether it is, or will most likely be, of use for a while. */
-    val expectedToLast: Boolean
-        get() =
-            (state == MachineState.UP || state == MachineState.PROVISIONING) &&
-                terminationAtMs == null &&
-                reachability.state != ReachabilityState.UNREACHABLE
-
-    /** Whether a task may be planned here now. */
-    fun open(
+    /** Whether a task may be planned here at [nowMs]: heartbeats must be newer than [freshMs], and nothing may speak against it. */
+    fun acceptsTasks(
         nowMs: Long,
         freshMs: Long,
     ): Boolean =
         state == MachineState.UP &&
-            terminationAtMs == null &&
-            termSeen >= requiredTerm &&
+            heartbeats.terminationAtMs == null &&
+            termSeen >= fencing.required &&
             reachability.isReachable &&
-            nowMs >= backoffUntilMs &&
-            nowMs >= quarantinedUntilMs &&
-            nowMs - lastHeartbeatAtMs < freshMs
+            !isHeldBack(nowMs) &&
+            nowMs - heartbeats.lastUnpromptedAtMs < freshMs
+
+    private fun isHeldBack(nowMs: Long) = nowMs < failureRecord.backoffUntilMs || nowMs < failureRecord.quarantinedUntilMs
 
+    /** Constants of machines. */
     companion object {
+        /** A moment before all others that leaves room for subtraction. */
         const val NEVER = Long.MIN_VALUE / 4
-        private const val EPSILON = 1e-6
-        private val allowed =
-            mapOf(
-                MachineState.PROVISIONING to setOf(MachineState.UP, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
-                MachineState.UP to setOf(MachineState.UNRESPONSIVE, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
-                MachineState.UNRESPONSIVE to setOf(MachineState.UP, MachineState.RELEASING, MachineState.TERMINATED, MachineState.OWNED_ELSEWHERE),
-                MachineState.RELEASING to setOf(MachineState.UP, MachineState.TERMINATING, MachineState.TERMINATED),
-                MachineState.TERMINATING to setOf(MachineState.RELEASING, MachineState.TERMINATED),
-                MachineState.TERMINATED to emptySet(),
-                MachineState.OWNED_ELSEWHERE to setOf(MachineState.PROVISIONING, MachineState.TERMINATED),
-            )
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -3,127 +3,152 @@
 import mintfield.core.Cluster
 import mintfield.core.constants.FleetConstants
 import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.jobs.AttemptState
 
-/** Looks at the clock for each machine: silence, leases that have certainly ended, machines that never come up or fail what they get. */
+/**
+ * Applies the time limits of machines: heartbeat timeouts, leases that have certainly expired, and the release of machines that never
+ * come up, stay silent, cannot be reached or fail their tasks.
+ */
 class MachineWatch(
     private val cluster: Cluster,
-    private val scheduleRelease: (Machine, Long, String) -> Unit,
-    private val listLagMs: () -> Long,
+    private val releases: MachineReleases,
+    private val listing: CloudListing,
 ) {
     private var startedAtMs = Machine.NEVER
 
-    /** Looks at all machines. */
-    fun look(nowMs: Long) {
+    /** Checks all machines. */
+    fun check(nowMs: Long) {
         if (startedAtMs == Machine.NEVER) startedAtMs = nowMs
-        val unresponsiveByZone = HashMap<String, Int>()
-        val byZone = HashMap<String, Int>()
-        for (m in cluster.machines.values) {
-            if (m.state == MachineState.OWNED_ELSEWHERE || (m.lastContactAtMs == Machine.NEVER && m.attempts.isEmpty())) continue
-            byZone.merge(m.zone, 1, Int::plus)
-            if (nowMs - m.lastContactAtMs > cluster.timings.heartbeatTimeoutMs) unresponsiveByZone.merge(m.zone, 1, Int::plus)
-        }
-        val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
-        // Many at once speak of the network, not of the machines.
-        val releaseUnreachable =
-            unreachable <= maxOf(WorkerConstants.MAX_BLAMED_UNREACHABLE, (cluster.machines.size * WorkerConstants.MAX_BLAMED_UNREACHABLE_FRACTION).toInt())
-        for (m in cluster.machines.values.toList()) {
-            if (m.state == MachineState.UP) watchReachability(m, releaseUnreachable, nowMs)
-            when (m.state) {
-                MachineState.PROVISIONING ->
-                    pendingPredecessors(
-                        m,
-                        nowMs,
-                        (unresponsiveByZone[m.zone] ?: 0) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * (byZone[m.zone] ?: 1),
-                    )
-                MachineState.UP -> if (nowMs - m.lastContactAtMs > cluster.timings.heartbeatTimeoutMs) m.moveTo(MachineState.UNRESPONSIVE, nowMs)
-                MachineState.UNRESPONSIVE ->
-                    silent(
-                        m,
-                        nowMs,
-                        (unresponsiveByZone[m.zone] ?: 0) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * (byZone[m.zone] ?: 1),
-                    )
+        val unresponsiveZones = unresponsiveZones(nowMs)
+        val releasesUnreachable = releasesUnreachable()
+        for (machine in cluster.machines.values.toList()) {
+            if (machine.state == MachineState.UP && releasesUnreachable) checkReachability(machine, nowMs)
+            when (machine.state) {
+                MachineState.PROVISIONING -> checkProvisioning(machine, nowMs, machine.zone in unresponsiveZones)
+                MachineState.UP -> if (isSilent(machine, nowMs)) machine.moveTo(MachineState.UNRESPONSIVE, nowMs)
+                MachineState.UNRESPONSIVE -> checkUnresponsive(machine, nowMs, machine.zone in unresponsiveZones)
                 else -> {}
             }
-            expire(m, nowMs)
-            val faulty = m.attributedFailures >= PlacementConstants.QUARANTINE_FAILURES || m.suspectJobs.size >= PlacementConstants.RELEASE_SUSPECT_JOBS
-            if (m.state == MachineState.UP && faulty) {
-                scheduleRelease(m, nowMs, "its tasks fail")
-            }
+            if (machine.attempts.isNotEmpty() && machine.state != MachineState.OWNED_ELSEWHERE) checkLease(machine, nowMs)
+            if (machine.state == MachineState.UP && isFaulty(machine.failureRecord)) releases.schedule(machine, nowMs, "its tasks fail")
         }
     }
 
-    /** A machine that reports but does not hear is returned if that lasts, or if it holds what must not run any more. */
-    private fun watchReachability(
-        m: Machine,
-        releaseUnreachable: Boolean,
+    private fun isSilent(
+        machine: Machine,
         nowMs: Long,
-    ) {
-        if (!releaseUnreachable) return
-        if (m.reachability.state == ReachabilityState.UNREACHABLE && nowMs - m.reachability.sinceMs > WorkerConstants.UNREACHABLE_RELEASE_MS) {
-            return scheduleRelease(m, nowMs, "unreachable for ${(nowMs - m.reachability.sinceMs) / 1000} s")
+    ) = nowMs - machine.lastContactAtMs > cluster.timings.heartbeatTimeoutMs
+
+    private fun isFaulty(failures: FailureRecord) =
+        failures.attributedFailures >= PlacementConstants.QUARANTINE_FAILURES || failures.suspectJobs >= PlacementConstants.RELEASE_SUSPECT_JOBS
+
+    /** Zones most of whose machines are silent, as after a partition. Machines that have never been up do not count. */
+    private fun unresponsiveZones(nowMs: Long): Set<String> {
+        val silent = HashMap<String, Int>()
+        val all = HashMap<String, Int>()
+        for (machine in cluster.machines.values) {
+            val neverUp = machine.lastContactAtMs == Machine.NEVER && machine.attempts.isEmpty()
+            if (machine.state == MachineState.OWNED_ELSEWHERE || neverUp) continue
+            all.merge(machine.zone, 1, Int::plus)
+            if (isSilent(machine, nowMs)) silent.merge(machine.zone, 1, Int::plus)
         }
-        val limit = cluster.settings.cancelS * 1000 * WorkerConstants.CANCEL_RELEASE_FRACTION
-        m.foreignTasks.notStopped(nowMs - limit.toLong())?.let { return scheduleRelease(m, nowMs, "${it.status.task} of another shard does not stop there") }
-        if (m.count(AttemptState.STOPPING) == 0) return
-        m.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limit }?.let {
-            scheduleRelease(m, nowMs, "${it.job.spec.id}/${it.index} is cancelled and does not stop there")
+        return silent.keys.filterTo(HashSet()) { silent.getValue(it) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * all.getValue(it) }
+    }
+
+    /** Whether unreachable machines may be released: if many are unreachable at once, the network is at fault and not the machines. */
+    private fun releasesUnreachable(): Boolean {
+        val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
+        val fractionOfFleet = (cluster.machines.size * WorkerConstants.MAX_BLAMED_UNREACHABLE_FRACTION).toInt()
+        return unreachable <= maxOf(WorkerConstants.MAX_BLAMED_UNREACHABLE, fractionOfFleet)
+    }
+
+    /** Releases a machine that sends heartbeats but cannot be reached, if that lasts or if it has tasks that must stop. */
+    private fun checkReachability(
+        machine: Machine,
+        nowMs: Long,
+    ) {
+        val reachability = machine.reachability
+        if (reachability.state == ReachabilityState.UNREACHABLE && nowMs - reachability.sinceMs > WorkerConstants.UNREACHABLE_RELEASE_MS) {
+            return releases.schedule(machine, nowMs, "unreachable for ${seconds(nowMs - reachability.sinceMs)} s")
         }
+        val limitMs = cluster.settings.cancelS * TimeUnits.MS_PER_SECOND * WorkerConstants.CANCEL_RELEASE_FRACTION
+        val foreign = machine.foreignTasks.notStopped(nowMs - limitMs.toLong())
+        if (foreign != null) return releases.schedule(machine, nowMs, "${foreign.status.task} of another shard does not stop there")
+        if (machine.count(AttemptState.STOPPING) == 0) return
+        val attempt = machine.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limitMs }
+        if (attempt != null) releases.schedule(machine, nowMs, "${attempt.job.spec.id}/${attempt.index} is cancelled and does not stop there")
     }
 
-    private fun pendingPredecessors(
-        m: Machine,
+    private fun checkProvisioning(
+        machine: Machine,
         nowMs: Long,
         zoneUnresponsive: Boolean,
     ) {
-        // What a plan names was up once. If it died before the failover, only its return proves that its tasks are gone.
-        if (m.attempts.isNotEmpty() || m.adoptedAtMs != Machine.NEVER) {
-            val limit =
-                when {
-                    m.provisional && m.attempts.isNotEmpty() -> cluster.timings.unlistedReleaseMs
-                    zoneUnresponsive -> FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS
-                    m.adoptedAtMs != Machine.NEVER -> maxOf(cluster.timings.replayedReleaseMs, listLagMs())
-                    else -> cluster.timings.replayedReleaseMs
-                }
-            if (nowMs - maxOf(m.firstSeenAtMs, startedAtMs) > limit) scheduleRelease(m, nowMs, "in use, but no heartbeat has reached this leader")
+        if (machine.attempts.isNotEmpty() || machine.origin.isAdopted) {
+            // What a plan names has been up. If it died before the failover, only its release proves that its tasks are gone.
+            val silentMs = nowMs - maxOf(machine.origin.firstSeenAtMs, startedAtMs)
+            if (silentMs > firstHeartbeatLimitMs(machine, zoneUnresponsive)) {
+                releases.schedule(machine, nowMs, "in use, but no heartbeat has reached this leader")
+            }
             return
         }
-        val patience = m.type.bootS * 1000 * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_MS
-        if (nowMs - m.firstSeenAtMs > patience && nowMs - startedAtMs > FleetConstants.BOOT_TIMEOUT_SLACK_MS) scheduleRelease(m, nowMs, "never came up")
+        val bootLimitMs = machine.type.bootS * TimeUnits.MS_PER_SECOND * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_MS
+        if (nowMs - machine.origin.firstSeenAtMs > bootLimitMs && nowMs - startedAtMs > FleetConstants.BOOT_TIMEOUT_SLACK_MS) {
+            releases.schedule(machine, nowMs, "never came up")
+        }
     }
 
-    private fun silent(
-        m: Machine,
+    /** Milliseconds within which a machine in use must send this leader its first heartbeat. */
+    private fun firstHeartbeatLimitMs(
+        machine: Machine,
+        zoneUnresponsive: Boolean,
+    ): Long =
+        when {
+            machine.provisional && machine.attempts.isNotEmpty() -> cluster.timings.unlistedReleaseMs
+            zoneUnresponsive -> FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS
+            machine.origin.isAdopted -> maxOf(cluster.timings.replayedReleaseMs, listing.lagMs())
+            else -> cluster.timings.replayedReleaseMs
+        }
+
+    private fun checkUnresponsive(
+        machine: Machine,
         nowMs: Long,
         zoneUnresponsive: Boolean,
     ) {
-        val taken = m.terminationAtMs
-        val limit = if (zoneUnresponsive) FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS else cluster.timings.unresponsiveReleaseMs
+        val terminationAtMs = machine.heartbeats.terminationAtMs
+        val silentMs = nowMs - machine.lastContactAtMs
+        val limitMs = if (zoneUnresponsive) FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS else cluster.timings.unresponsiveReleaseMs
         when {
-            taken != null && nowMs > taken + cluster.timings.heartbeatTimeoutMs -> scheduleRelease(m, nowMs, "termination notice ran out, unresponsive")
-            nowMs - m.lastContactAtMs > limit -> scheduleRelease(m, nowMs, "unresponsive for ${(nowMs - m.lastContactAtMs) / 1000} s")
+            terminationAtMs != null && nowMs > terminationAtMs + cluster.timings.heartbeatTimeoutMs ->
+                releases.schedule(machine, nowMs, "termination notice ran out, unresponsive")
+            silentMs > limitMs -> releases.schedule(machine, nowMs, "unresponsive for ${seconds(silentMs)} s")
         }
     }
 
     /**
-     * Proof by lease: the worker has seen a term of this leader, so nobody else could have renewed its lease since, and
-     * the last answer that might have done so is longer ago than the lease can last.
+     * Releases the attempts on [machine] if its lease has expired. They were planned in the incarnation that ended with the lease: a
+     * start that is still under way names that incarnation and will be refused.
      */
-    private fun expire(
-        m: Machine,
+    private fun checkLease(
+        machine: Machine,
         nowMs: Long,
     ) {
-        if (m.attempts.isEmpty() || m.state == MachineState.OWNED_ELSEWHERE || !leaseExpired(m, nowMs)) return
-        for (a in m.attempts.toList()) {
-            // Planned in the incarnation that has ended: a start still under way names that incarnation and is refused.
-            cluster.release(a, nowMs, "lease expired, unresponsive for ${(nowMs - m.lastContactAtMs) / 1000} s")
+        if (!leaseExpired(machine, nowMs)) return
+        for (attempt in machine.attempts.toList()) {
+            cluster.release(attempt, nowMs, "lease expired, unresponsive for ${seconds(nowMs - machine.lastContactAtMs)} s")
         }
     }
 
-    /** Whether the lease that [m] had from this leader has certainly ended. */
+    /**
+     * Whether the lease that [machine] had from this leader has certainly expired: the worker has seen a term of this leader, so nobody
+     * else can have renewed its lease since, and the last answer that may have renewed it is longer ago than a lease can last.
+     */
     fun leaseExpired(
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
-    ) = cluster.hasSeenOurToken(m) && m.leaseRenewedAtMs != Machine.NEVER && nowMs - m.leaseRenewedAtMs > cluster.timings.leaseExpiryMs
+    ): Boolean = cluster.hasSeenOurToken(machine) && machine.lease.hasExpired(nowMs, cluster.timings.leaseExpiryMs)
+
+    private fun seconds(ms: Long) = ms / TimeUnits.MS_PER_SECOND
 }
--- a/src/main/kotlin/mintfield/core/fleet/Reachability.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Reachability.kt
@@ -4,39 +4,30 @@
 import mintfield.core.jobs.Attempt
 import mintfield.core.model.Heartbeat
 
-enum class ReachabilityState {
-    /** Nothing speaks against it. */
-    REACHABLE,
-
-    /** The last answer seems not to have come through; that happens now and then. */
-    SUSPECT,
-
-    /** Several in a row have not. It is planned nothing, and called from time to time to see if it hears again. */
-    UNREACHABLE,
-}
-
 /**
- * Whether a machine hears what it is told. One whose heartbeats come but which no answer reaches looks alive, takes plans,
- * starts none of them and loses its tasks with each lease. It shows by what its heartbeats lack: the term and the starts of
- * the answer before, or a lease that ran out although each heartbeat was answered.
+ * A failure detector for the direction from the leader to one machine. In an asymmetric partition a machine's heartbeats arrive but no
+ * response reaches it: it looks alive, is assigned tasks, starts none of them and loses those that it has with each lease. This shows by
+ * what its heartbeats lack: the term and the starts of the last response, or a lease that expired although each heartbeat was answered.
  */
 class Reachability {
+    /** The verdict. */
     var state = ReachabilityState.REACHABLE
         private set
 
-    /** Steady milliseconds; when it became unreachable. */
+    /** Steady milliseconds at which the machine last became unreachable. */
     var sinceMs = 0L
         private set
 
-    /** Times that it was unreachable; each makes the pause after it longer. */
+    /** How often the machine has become unreachable; each time makes the pause after it longer. */
     var episodes = 0
         private set
 
-    private var answeredTerm = NOTHING
+    private var answeredTerm = NO_ANSWER
     private var answeredStarts: List<Attempt> = emptyList()
     private var incarnationSinceMs = 0L
     private var missed = 0
 
+    /** Whether nothing speaks against it. */
     val isReachable: Boolean get() = state == ReachabilityState.REACHABLE
 
     /** The only place where the state changes; true if it did. */
@@ -53,42 +44,69 @@
         return true
     }
 
-    /** A heartbeat was answered with [term] and starts of [runs]. */
+    /** A heartbeat was answered with [term] and the starts of [attempts]. */
     fun recordAnswer(
         term: Long,
-        runs: List<Attempt>,
+        attempts: List<Attempt>,
     ) {
         answeredTerm = term
-        answeredStarts = runs
+        answeredStarts = attempts
     }
 
-    /** A heartbeat, newer than all before, of machine [m] as it was known until now; true if the state changes. */
+    /**
+     * Takes in [heartbeat], which came on its own and is newer than those that [known] has recorded. [leaseMs] is the length of a
+     * worker's lease. Returns whether the state has changed.
+     */
     fun onHeartbeat(
-        m: Machine,
+        known: HeartbeatRecord,
         heartbeat: Heartbeat,
         leaseMs: Long,
         nowMs: Long,
     ): Boolean {
-        val answered = answeredTerm != NOTHING
         val term = answeredTerm
-        val runs = answeredStarts
-        answeredTerm = NOTHING
+        val starts = answeredStarts
+        answeredTerm = NO_ANSWER
         answeredStarts = emptyList()
-        if (heartbeat.incarnation != m.incarnation) {
-            // A machine that hung reports nothing meanwhile; one that went on reporting has lost its lease unheard.
-            val status = answered && m.incarnation != 0L && nowMs - m.lastContactAtMs < leaseMs * REPORTING_SHARE
-            incarnationSinceMs = nowMs
-            return if (status) miss(WorkerConstants.UNREACHABLE_AFTER_MISSES, nowMs) else false
+        return when {
+            heartbeat.incarnation != known.incarnation -> onNewIncarnation(known, term != NO_ANSWER, leaseMs, nowMs)
+            term == NO_ANSWER -> false
+            heartbeat.termSeen < term || !showsAnyOf(starts, heartbeat) -> miss(1, nowMs)
+            else -> (starts.isNotEmpty() || provesDelivery(known, heartbeat, leaseMs, nowMs)) && confirmDelivery(nowMs)
         }
-        val kept = incarnationSinceMs > 0 && nowMs - incarnationSinceMs > leaseMs
-        if (!answered) return false
-        val started =
-            runs.isEmpty() || heartbeat.tasks.any { t -> runs.any { it.index == t.task.index && it.number == t.attempt && it.job.spec.id == t.task.job } }
-        if (heartbeat.termSeen < term || !started) return miss(1, nowMs)
-        // That nothing is missed proves something only if there was something to miss, or if its lease goes on.
-        return if (runs.isNotEmpty() || heartbeat.termSeen > m.termSeen || kept || state == ReachabilityState.SUSPECT) confirmDelivery(nowMs) else false
     }
 
+    /** That nothing is missing proves delivery only if something could have been missing, or if the lease was renewed meanwhile. */
+    private fun provesDelivery(
+        known: HeartbeatRecord,
+        heartbeat: Heartbeat,
+        leaseMs: Long,
+        nowMs: Long,
+    ): Boolean {
+        val leaseRenewed = incarnationSinceMs > 0 && nowMs - incarnationSinceMs > leaseMs
+        return heartbeat.termSeen > known.termSeen || leaseRenewed || state == ReachabilityState.SUSPECT
+    }
+
+    /** A machine that hung sends no heartbeats meanwhile; one that kept sending them lost its lease because the responses were lost. */
+    private fun onNewIncarnation(
+        known: HeartbeatRecord,
+        answered: Boolean,
+        leaseMs: Long,
+        nowMs: Long,
+    ): Boolean {
+        incarnationSinceMs = nowMs
+        val keptSending = answered && known.incarnation != 0L && nowMs - known.lastContactAtMs < leaseMs * KEPT_SENDING_FRACTION
+        return keptSending && miss(WorkerConstants.UNREACHABLE_AFTER_MISSES, nowMs)
+    }
+
+    private fun showsAnyOf(
+        starts: List<Attempt>,
+        heartbeat: Heartbeat,
+    ): Boolean =
+        starts.isEmpty() ||
+            heartbeat.tasks.any { status ->
+                starts.any { it.index == status.task.index && it.number == status.attempt && it.job.spec.id == status.task.job }
+            }
+
     private fun miss(
         weight: Int,
         nowMs: Long,
@@ -97,16 +115,16 @@
         return moveTo(if (missed >= WorkerConstants.UNREACHABLE_AFTER_MISSES) ReachabilityState.UNREACHABLE else ReachabilityState.SUSPECT, nowMs)
     }
 
-    /** Something that was sent to the machine has had its effect there. */
+    /** Something that was sent to the machine has taken effect there. Returns whether the state has changed. */
     fun confirmDelivery(nowMs: Long): Boolean {
         missed = 0
         return moveTo(ReachabilityState.REACHABLE, nowMs)
     }
 
     private companion object {
-        const val NOTHING = -1L
+        const val NO_ANSWER = -1L
 
-        /** Share of the lease within which its last heartbeat must lie for the machine to have gone on reporting. */
-        const val REPORTING_SHARE = 0.7
+        /** Fraction of the lease within which the last heartbeat must lie for the machine to have kept sending them. */
+        const val KEPT_SENDING_FRACTION = 0.7
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
@@ -3,25 +3,27 @@
 import mintfield.core.constants.FleetConstants
 
 /**
- * Names of machines whose return the cloud has confirmed. Lists and reports may come late, and one of these must not bring back
- * a machine that is gone: taken for one that boots, it would count as room to come. Names are kept by age and not by number,
- * so that a wave in which thousands are taken loses none.
+ * Names of machines whose release the cloud has confirmed. A late list or heartbeat must not bring such a machine back: taken for one
+ * that boots, it would count as capacity to come. Names are kept by age and not by number, so that none is lost when thousands of
+ * machines are reclaimed at once.
  */
 class ReleasedMachines {
-    private val returnedAtMs = LinkedHashMap<String, Long>()
+    /** Steady milliseconds of the release by name, in order of release. */
+    private val releasedAtMs = LinkedHashMap<String, Long>()
 
     /** How many names are kept. */
-    val size: Int get() = returnedAtMs.size
+    val size: Int get() = releasedAtMs.size
 
-    operator fun contains(id: String): Boolean = id in returnedAtMs
+    /** Whether the machine [id] is known to be released. */
+    operator fun contains(id: String): Boolean = id in releasedAtMs
 
-    /** The machine [id] is gone; forgets those whose last late message must have come. */
+    /** Adds the machine [id] and drops the names of those of which no late message can come any more. */
     fun add(
         id: String,
         nowMs: Long,
     ) {
-        returnedAtMs[id] = nowMs
-        val oldest = returnedAtMs.values.iterator()
+        releasedAtMs[id] = nowMs
+        val oldest = releasedAtMs.values.iterator()
         while (oldest.hasNext() && nowMs - oldest.next() > FleetConstants.RELEASED_NAMES_KEPT_MS) oldest.remove()
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -32,9 +32,9 @@
         var probes = 0
         for (m in cluster.machines.values) {
             if (calls.size >= if (lost) 1 else most) break
-            if (m.state != MachineState.UP || m.directInFlight || nowMs < m.directPausedUntilMs || (m.relayed && !m.viaRelayPeer)) continue
-            if (nowMs - m.lastHeartbeatAtMs > cluster.timings.heartbeatTimeoutMs ||
-                m.unacknowledgedTerm >= cluster.token(m) ||
+            if (m.state != MachineState.UP || m.directRoute.inFlight || nowMs < m.directRoute.pausedUntilMs || m.directRoute.isUnlikely) continue
+            if (nowMs - m.heartbeats.lastUnpromptedAtMs > cluster.timings.heartbeatTimeoutMs ||
+                m.fencing.unacknowledged >= cluster.token(m) ||
                 !cluster.ownership.mayStart(m.id)
             ) {
                 continue
@@ -45,10 +45,10 @@
                 continue
             }
             if (m.count(AttemptState.PLANNED) == 0 || m.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) continue
-            val address = m.address ?: continue
+            val address = m.heartbeats.address ?: continue
             val commands = heartbeats.commands(m, viaHeartbeat = false, nowMs)
             if (commands.none { it is WorkerCommand.Start }) continue
-            m.directInFlight = true
+            m.directRoute.callStarted()
             calls.add(DirectCall(m.id, address, cluster.token(m), m.incarnation, commands))
         }
         return calls
@@ -59,9 +59,9 @@
         m: Machine,
         nowMs: Long,
     ): DirectCall? {
-        val address = m.address ?: return null
-        m.directInFlight = true
-        m.directPausedUntilMs = nowMs + WorkerConstants.UNREACHABLE_PROBE_MS
+        val address = m.heartbeats.address ?: return null
+        m.directRoute.callStarted()
+        m.directRoute.pauseUntil(nowMs + WorkerConstants.UNREACHABLE_PROBE_MS)
         return DirectCall(m.id, address, cluster.token(m), m.incarnation, emptyList())
     }
 
@@ -71,7 +71,7 @@
         nowMs: Long,
     ) {
         val m = cluster.machines[call.machine] ?: return
-        m.directInFlight = false
+        m.directRoute.callEnded()
         unanswered = 0
         if (heartbeat != null && heartbeat.machine == m.id) heartbeats.take(m, heartbeat, viaHeartbeat = false, nowMs)
     }
@@ -82,16 +82,16 @@
         nowMs: Long,
     ) {
         val m = cluster.machines[call.machine] ?: return
-        m.directInFlight = false
+        m.directRoute.callEnded()
         if (call.commands.isEmpty()) return
         if (++unanswered ==
             WorkerConstants.DIRECT_PATH_LOST_AFTER
         ) {
             log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
         }
-        m.directPausedUntilMs = nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS
+        m.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
-        if (sent) m.unacknowledgedTerm = maxOf(m.unacknowledgedTerm, call.term)
+        if (sent) m.fencing.recordUnacknowledged(call.term)
         log("no answer from ${m.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -31,9 +31,7 @@
         m: Machine,
         nowMs: Long,
     ) {
-        m.failures = 0
-        m.attributedFailures = 0
-        m.suspectJobs.clear()
+        m.failureRecord.succeeded()
         job.failures = 0
         if (job.health != JobHealth.HEALTHY) clear(job, nowMs)
     }
@@ -51,8 +49,7 @@
         job.notBeforeMs = nowMs + PlacementConstants.FAILURE_BACKOFF_MS
         when (job.health) {
             JobHealth.HEALTHY -> {
-                m.failures++
-                m.attributedFailures++
+                m.failureRecord.failedByMachine()
             }
 
             JobHealth.SUSPECT -> {
@@ -62,14 +59,17 @@
             }
 
             JobHealth.UNKNOWN -> {
-                m.failures++
-                m.suspectJobs.add(job.id)
+                m.failureRecord.failedForUnknownCause(job.id)
                 job.failuresByMachine.merge(m, 1, Int::plus)
                 cluster.unprovenJobs.add(job)
-                if (job.failuresByMachine.keys.count { it.attributedFailures == 0 } >= PlacementConstants.SUSPECT_JOB_MACHINES) return markSuspect(job, nowMs)
+                if (job.failuresByMachine.keys.count { it.failureRecord.attributedFailures == 0 } >=
+                    PlacementConstants.SUSPECT_JOB_MACHINES
+                ) {
+                    return markSuspect(job, nowMs)
+                }
             }
         }
-        if (m.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= m.quarantinedUntilMs) setAside(m, nowMs)
+        if (m.failureRecord.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= m.failureRecord.quarantinedUntilMs) setAside(m, nowMs)
     }
 
     /** A machine that fails what it is given would, being empty, draw ever more tasks. One job alone is as likely at fault. */
@@ -77,10 +77,11 @@
         m: Machine,
         nowMs: Long,
     ) {
-        val sure = m.attributedFailures > 0 || m.suspectJobs.size >= 2
-        val whose = "${m.attributedFailures} attributed to it, the rest to ${m.suspectJobs.size} unproven jobs"
-        log("${m.id} fails ${m.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
-        m.quarantinedUntilMs = nowMs + if (sure) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
+        val record = m.failureRecord
+        val sure = record.attributedFailures > 0 || record.suspectJobs >= 2
+        val whose = "${record.attributedFailures} attributed to it, the rest to ${record.suspectJobs} unproven jobs"
+        log("${m.id} fails ${record.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
+        record.quarantineUntil(nowMs + if (sure) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS)
     }
 
     private fun markSuspect(
@@ -90,11 +91,7 @@
         log("${job.id}: suspect, failed ${job.failures} times on ${job.failedOn.size} machines: probed with few tasks from now on")
         job.changeHealth(JobHealth.SUSPECT)
         job.notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
-        for ((m, times) in job.failuresByMachine) {
-            if (!m.suspectJobs.remove(job.id)) continue
-            m.failures = maxOf(0, m.failures - times)
-            if (m.suspectJobs.isEmpty() && m.attributedFailures == 0) m.quarantinedUntilMs = nowMs
-        }
+        for ((m, times) in job.failuresByMachine) m.failureRecord.attributeToJob(job.id, times, nowMs)
         job.failuresByMachine.clear()
         // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
         job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
@@ -109,7 +106,7 @@
         job.changeHealth(JobHealth.HEALTHY)
         cluster.unprovenJobs.remove(job)
         job.notBeforeMs = nowMs
-        for ((m, times) in job.failuresByMachine) if (m.suspectJobs.remove(job.id)) m.attributedFailures += times
+        for ((m, times) in job.failuresByMachine) m.failureRecord.attributeToMachine(job.id, times)
         job.failuresByMachine.clear()
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -35,26 +35,21 @@
         viaHeartbeat: Boolean,
         nowMs: Long,
     ): Boolean {
-        if (heartbeat.incarnation < m.incarnation || (heartbeat.incarnation == m.incarnation && heartbeat.sequence <= m.sequence)) return false
+        if (!m.heartbeats.isSucceededBy(heartbeat)) return false
         if (viaHeartbeat) {
-            m.lastHeartbeatAtMs = nowMs
+            m.heartbeats.recordUnprompted(nowMs)
             val leaseMs = (cluster.settings.leaseS * 1000).toLong()
-            if (m.reachability.onHeartbeat(m, heartbeat, leaseMs, nowMs)) reachabilityChanged(m, nowMs)
+            if (m.reachability.onHeartbeat(m.heartbeats, heartbeat, leaseMs, nowMs)) reachabilityChanged(m, nowMs)
         } else if (m.reachability.confirmDelivery(nowMs)) {
             reachabilityChanged(m, nowMs)
         }
         if (heartbeat.incarnation > m.incarnation) startIncarnation(m, heartbeat, nowMs)
-        m.sequence = heartbeat.sequence
-        m.termSeen = maxOf(m.termSeen, heartbeat.termSeen)
-        m.address = heartbeat.address
-        m.lastContactAtMs = nowMs
-        val same = m.reconciled && heartbeat.tasks === m.lastHeartbeat?.tasks
-        m.lastHeartbeat = heartbeat
+        val same = m.occupancy.reconciled && heartbeat.tasks === m.lastHeartbeat?.tasks
+        m.heartbeats.record(heartbeat, nowMs)
         updateForeignTasks(m, heartbeat)
-        m.terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * 1000).toLong() }
         if (m.state == MachineState.PROVISIONING || m.state == MachineState.UNRESPONSIVE) m.moveTo(MachineState.UP, nowMs)
         if (same) return true
-        m.reconciled = false
+        m.occupancy.markReconciled(false)
         val seen = HashMap<TaskId, TaskStatus>(heartbeat.tasks.size * 2)
         heartbeat.tasks.forEach { seen[it.task] = it }
         val trusted = trusted(m, heartbeat)
@@ -100,7 +95,7 @@
         }
         if (h.state == ReachabilityState.REACHABLE && h.episodes > 0) {
             val pause = WorkerConstants.REACHABLE_BACKOFF_MS shl minOf(h.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
-            m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + pause)
+            m.failureRecord.backOffUntil(nowMs + pause)
             log("${m.id}: reachable again, new tasks in $pause ms")
         }
     }
@@ -109,7 +104,7 @@
     private fun trusted(
         m: Machine,
         heartbeat: Heartbeat,
-    ) = heartbeat.termSeen > m.unacknowledgedTerm && !m.directInFlight
+    ) = heartbeat.termSeen > m.fencing.unacknowledged && !m.directRoute.inFlight
 
     /**
      * Whether a start of a cancelled job that got no answer may yet be carried out there. Only a higher term rules that out,
@@ -127,10 +122,8 @@
     ) {
         m.attempts.filter { it.incarnation < heartbeat.incarnation }.forEach { cluster.release(it, nowMs, "incarnation ${heartbeat.incarnation} started") }
         if (m.incarnation != 0L) log("${m.id}: lease expired, incarnation ${heartbeat.incarnation} started, its tasks are lost")
-        m.incarnation = heartbeat.incarnation
-        // Its lease began with the incarnation. Counted from the last answer alone, what is started in it would be taken for ended.
-        m.leaseRenewedAtMs = maxOf(m.leaseRenewedAtMs, nowMs)
-        m.sequence = 0
+        m.heartbeats.startIncarnation(heartbeat.incarnation)
+        m.lease.restart(nowMs)
     }
 
     private fun present(
@@ -149,7 +142,7 @@
                 if (a.state == AttemptState.PULLING && spec.shape == Shape.SERVICE) {
                     log("${spec.id}/${a.index} runs on ${a.machine.id} after ${nowMs - a.changedAtMs} ms for its image")
                 }
-                a.machine.imageUsed(spec.image, spec.imageGb)
+                a.machine.images.markPresent(spec.image, spec.imageGb)
                 if (a.state == AttemptState.PLANNING) return
                 if (a.state != AttemptState.STOPPING && a.state != AttemptState.RUNNING) {
                     a.moveTo(AttemptState.RUNNING, nowMs)
@@ -172,7 +165,7 @@
         val m = a.machine
         when (cause) {
             ExitReason.DONE -> {
-                m.imageUsed(job.spec.image, job.spec.imageGb)
+                m.images.markPresent(job.spec.image, job.spec.imageGb)
                 failureAttribution.succeeded(job, m, nowMs)
                 if (a.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - a.changedAtMs) / 1000.0)
                 cluster.markDone(job, a.index, nowMs)
@@ -185,7 +178,7 @@
 
             ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> {
                 cluster.release(a, nowMs, "refused: $cause")
-                m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
+                m.failureRecord.backOffUntil(nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
             }
 
             ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> {
@@ -211,7 +204,7 @@
         if (!viaHeartbeat) return
         if (trusted) {
             cluster.release(a, nowMs, gone)
-        } else if (a.machine.unacknowledgedTerm >= cluster.token(a.machine)) {
+        } else if (a.machine.fencing.unacknowledged >= cluster.token(a.machine)) {
             cluster.raiseWanted = true
         }
     }
@@ -234,7 +227,7 @@
         nowMs: Long,
     ): List<WorkerCommand> {
         val heartbeat = m.lastHeartbeat ?: return emptyList()
-        if (m.reconciled) {
+        if (m.occupancy.reconciled) {
             if (viaHeartbeat) m.reachability.recordAnswer(cluster.token(m), emptyList())
             return emptyList()
         }
@@ -251,19 +244,19 @@
                 when {
                     foreign.ended -> if (viaHeartbeat && foreign.acknowledgeWanted) acknowledgements.add(WorkerCommand.Acknowledge(t.task, t.attempt))
                     foreign.stopWanted || cancelled(t.task.job) -> {
-                        if (foreign.stopSentAtMs == 0L) foreign.stopSentAtMs = nowMs
+                        foreign.stopSent(nowMs)
                         stops.add(WorkerCommand.Stop(t.task, t.attempt, 0.0))
                     }
                 }
                 continue
             }
-            if (a == null && job == null && nowMs - m.adoptedAtMs < ShardingConstants.FOREIGN_TASK_GRACE_MS) continue
+            if (a == null && job == null && nowMs - m.origin.adoptedAtMs < ShardingConstants.FOREIGN_TASK_GRACE_MS) continue
             if (a != null) seen.add(t.task)
             if (t.state == TaskState.ENDED) {
                 if (viaHeartbeat && a == null && mayAcknowledge(t, job)) {
                     if (trusted) {
                         acknowledgements.add(WorkerCommand.Acknowledge(t.task, t.attempt))
-                    } else if (m.unacknowledgedTerm >= cluster.token(m)) {
+                    } else if (m.fencing.unacknowledged >= cluster.token(m)) {
                         cluster.raiseWanted = true
                     }
                 }
@@ -286,11 +279,12 @@
         }
         if (viaHeartbeat) m.reachability.recordAnswer(cluster.token(m), startedAttempts)
         if (stops.isEmpty() && acknowledgements.isEmpty() && starts.isEmpty()) {
-            m.reconciled =
+            m.occupancy.markReconciled(
                 m.foreignTasks.isEmpty &&
-                seen.size == m.attempts.size &&
-                seen.size == heartbeat.tasks.size &&
-                heartbeat.tasks.none { it.state == TaskState.ENDED }
+                    seen.size == m.attempts.size &&
+                    seen.size == heartbeat.tasks.size &&
+                    heartbeat.tasks.none { it.state == TaskState.ENDED },
+            )
             return emptyList()
         }
         return (stops + acknowledgements + starts).take(MAX_COMMANDS)
@@ -304,7 +298,7 @@
         val spec = a?.job?.spec ?: return 0.0
         if (a.job.cancelled || spec.checkpointS <= 0) return 0.0
         if (nowMs - a.changedAtMs > spec.saveS * 2000 + GRACE_SLACK_MS) return 0.0
-        return if (m.terminationAtMs == null) spec.saveS * 2 else spec.saveS
+        return if (m.heartbeats.terminationAtMs == null) spec.saveS * 2 else spec.saveS
     }
 
     /** A done task may leave the worker's reports only when its result is in the store. */
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -59,7 +59,7 @@
         if (next == state) return
         check(next in allowed.getValue(state)) { "${job.spec.id}/$index: $state to $next" }
         job.counted(state, next)
-        machine.counted(state, next)
+        machine.occupancy.stateChanged(state, next)
         state = next
         changedAtMs = nowMs
     }
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -104,8 +104,8 @@
     ): Machine? {
         val type = job.compatibleTypes.firstNotNullOfOrNull { cluster.types[it] } ?: cluster.types.values.firstOrNull() ?: return null
         val zone = job.spec.zone ?: type.zones.firstOrNull() ?: return null
-        if (!cluster.ownership.owns(id)) return fleet.ownedElsewhere(id, type, zone, nowMs)
-        return fleet.machine(id, type.name, zone, false, nowMs)?.also { it.provisional = true }
+        if (!cluster.ownership.owns(id)) return fleet.registry.addOwnedElsewhere(id, type, zone, nowMs)
+        return fleet.registry.machine(id, type.name, zone, false, nowMs)?.also { it.origin.markProvisional() }
     }
 
     /**
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
@@ -54,9 +54,9 @@
         if (scheduler.fleet.leaseExpired(m, nowMs)) return ForeignTaskAnswer.Status(emptyList())
         for (ref in query.tasks) {
             val foreign = m.foreignTasks[ref.task]?.takeIf { it.status.attempt == ref.attempt } ?: continue
-            if (ref.action == ForeignTaskRef.Action.STOP) foreign.stopWanted = true
-            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreign.acknowledgeWanted = true
-            m.reconciled = false
+            if (ref.action == ForeignTaskRef.Action.STOP) foreign.wantStop()
+            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreign.wantAcknowledge()
+            m.occupancy.markReconciled(false)
         }
         val asked = query.tasks.associate { it.task to it.attempt }
         return ForeignTaskAnswer.Status(
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -137,7 +137,7 @@
         val m = cluster.machines[machine] ?: return true
         if (m.state == MachineState.RELEASING || m.state == MachineState.TERMINATING || scheduler.zoneFencing.isFenced(machine)) return false
         m.attempts.filter { it.state == AttemptState.PLANNED && !it.startSent }.forEach { cluster.stop(it, nowMs, "its machine is handed over") }
-        return !m.directInFlight && m.count(AttemptState.PLANNING) == 0
+        return !m.directRoute.inFlight && m.count(AttemptState.PLANNING) == 0
     }
 
     private fun claims(nowMs: Long): List<AssignmentChange> {
@@ -205,7 +205,7 @@
         machine: String,
         nowMs: Long,
     ) {
-        fleet.adopted(machine, nowMs)
+        fleet.registry.adopt(machine, nowMs)
         times.adopted(machine, nowMs)
     }
 
@@ -216,7 +216,7 @@
         ownership.toClaim.remove(machine)
         fleet.ownerless.remove(machine)
         val intent = intentByMachine.remove(machine)
-        fleet.claimed(machine, intent, nowMs)
+        fleet.registry.claimed(machine, intent, nowMs)
         if (intent != null && intent !in intentByMachine.values) fleet.completedIntents.add(intent.idempotencyKey)
     }
 
@@ -239,10 +239,10 @@
         val settled = inDoubt.filterValues { it < cluster.term && cluster.term <= table.revision }.keys
         settled.forEach(ownership::letGoEnded)
         inDoubt.keys.removeAll(settled)
-        table.assigned.filter { it !in cluster.machines && ownership.owns(it) && it !in toDrop }.forEach { fleet.assumed(it, nowMs) }
+        table.assigned.filter { it !in cluster.machines && ownership.owns(it) && it !in toDrop }.forEach { fleet.registry.assume(it, nowMs) }
         for (m in cluster.machines.values.toList()) {
             val owned = ownership.owns(m.id)
-            if (m.state == MachineState.OWNED_ELSEWHERE && owned) fleet.adopted(m.id, nowMs)
+            if (m.state == MachineState.OWNED_ELSEWHERE && owned) fleet.registry.adopt(m.id, nowMs)
             if (leaves(m) && !owned && !ownership.isLettingGo(m.id)) fleet.handedOver(m.id, nowMs)
             if (m.state == MachineState.OWNED_ELSEWHERE && ownership.isGone(m.id)) gone(m, nowMs)
         }
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -142,6 +142,9 @@
     /** Machines that may be given though they are in use, those with the most room first; none that has just come. */
     private fun movable(nowMs: Long): List<Machine> =
         cluster.machines.values
-            .filter { it.state == MachineState.UP && cluster.ownership.mayStart(it.id) && nowMs - it.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS }
-            .sortedByDescending { it.freeCpus }
+            .filter {
+                it.state == MachineState.UP &&
+                    cluster.ownership.mayStart(it.id) &&
+                    nowMs - it.origin.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS
+            }.sortedByDescending { it.freeCpus }
 }
--- a/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
@@ -46,8 +46,8 @@
         return holders.getOrPut(Wanted(spec.image, spec.spot, zone, job.compatibleTypes)) {
             var cpus = 0.0
             for (m in open) {
-                if (!m.hasImage(spec.image) || (m.spot && !spec.spot) || (zone != null && m.zone != zone) || m.type.name !in job.compatibleTypes) continue
-                cpus += m.type.cpus - m.serviceCpus
+                if (!m.images.has(spec.image) || (m.spot && !spec.spot) || (zone != null && m.zone != zone) || m.type.name !in job.compatibleTypes) continue
+                cpus += m.type.cpus - m.occupancy.serviceCpus
             }
             Holders(cpus, arrays.sumOf { if (it.spec.image == spec.image) waitingS(it) else 0.0 })
         }
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -170,7 +170,7 @@
         var cpus = 0.0
         for (m in cluster.machines.values) {
             if (m.state != MachineState.UP) continue
-            cpus += m.type.cpus - m.serviceCpus
+            cpus += m.type.cpus - m.occupancy.serviceCpus
         }
         return cpus
     }
--- a/src/main/kotlin/mintfield/core/placement/MachineRanking.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachineRanking.kt
@@ -15,8 +15,8 @@
         image: String,
     ): Int =
         when {
-            m.hasImage(image) -> THERE
-            m.awaitsImage(image) -> FETCHING
+            m.images.has(image) -> THERE
+            m.images.isAwaited(image) -> FETCHING
             else -> ANYWHERE
         }
 }
@@ -27,7 +27,7 @@
     spec: JobSpec,
 ) : Comparable<RankedMachine> {
     val image = ImageRank.of(machine, spec.image)
-    private val fetchS = machine.fetchS(spec.image, spec.imageGb).toInt()
+    private val fetchS = machine.images.fetchS(spec.image, spec.imageGb).toInt()
 
     /** Spot machines come first for those who may use them. */
     private val ordinary = if (spec.spot && !machine.spot) 1 else 0
--- a/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
@@ -23,7 +23,7 @@
 
     val none: Boolean get() = withCapacity.isEmpty()
 
-    private fun hasRoom(m: Machine) = m.holds(cpus + reserve.margin(m, cpus), gpus, memoryGb)
+    private fun hasRoom(m: Machine) = m.occupancy.hasRoomFor(cpus + reserve.margin(m, cpus), gpus, memoryGb)
 
     /** Where a task of [job] could go: all open machines, if it may displace others or is no array's. */
     fun forJob(job: Job): List<Machine> {
--- a/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
+++ b/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
@@ -25,7 +25,7 @@
         var most = 0.0
         var held = 0.0
         for (job in cluster.jobs.values) if (job.spec.shape == Shape.SERVICE) most = maxOf(most, job.spec.cpus)
-        for (m in open) held += m.serviceCpus
+        for (m in open) held += m.occupancy.serviceCpus
         each = most
         wanted = maxOf(most * PlacementConstants.RESERVE_REPLICAS, held * PlacementConstants.RESERVE_CPU_FRACTION)
         for (m in open) free += roomOn(m, 0.0)
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -28,7 +28,7 @@
         val candidates = if (replicasOnly) cluster.jobs.values.filter { it.spec.shape == Shape.SERVICE } else cluster.jobs.values
         val waiting = candidates.filter { !it.cancelled && !it.finishing && !it.unreadable && nowMs >= it.notBeforeMs && it.schedulableTasks > 0 }
         if (waiting.isEmpty() || nowMs < cluster.holdUntilMs) return 0
-        val open = cluster.machines.values.filter { it.open(nowMs, cluster.timings.heartbeatTimeoutMs) && cluster.ownership.mayStart(it.id) }
+        val open = cluster.machines.values.filter { it.acceptsTasks(nowMs, cluster.timings.heartbeatTimeoutMs) && cluster.ownership.mayStart(it.id) }
         if (open.isEmpty()) return 0
         val number = cluster.attemptNumber()
         val reserve = ReplicaReserve(cluster, open)
@@ -81,13 +81,13 @@
             if (!lasts) return false
             val spec = job.spec
             return pendingPredecessors.getOrPut(spec.image to spec.spot) {
-                cluster.machines.values.any { unproven(it) && it.hasImage(spec.image) && (!it.spot || spec.spot) }
+                cluster.machines.values.any { unproven(it) && it.images.has(spec.image) && (!it.spot || spec.spot) }
             }
         }
     }
 
     /** Not heard of since the failover, or only by what may be a late copy: most likely it will be fit for tasks in a moment. */
-    private fun unproven(m: Machine) = m.state == MachineState.PROVISIONING || (m.state == MachineState.UP && m.termSeen < m.requiredTerm)
+    private fun unproven(m: Machine) = m.state == MachineState.PROVISIONING || (m.state == MachineState.UP && m.termSeen < m.fencing.required)
 
     /** What the searches for places of one round have in common. */
     private class Search(
@@ -135,7 +135,11 @@
         val avoided = if (job.failedOn.isNotEmpty() && fewFailed(job, open, zones)) job.failedOn else emptySet()
         val fitting = candidates.filter { it.id !in avoided && mayHold(job, it) && zones.allows(it.zone) }
         if (spec.shape == Shape.GANG && fitting.sumOf { roomFor(spec, it.freeCpus, it.freeGpus, it.freeMemoryGb) } < job.waitingCount) return 0
-        val inReach = fitting.filter { reaches(it, spec, worst, patienceS) && it.holds(spec.cpus + reserve.margin(it, spec), spec.gpus, spec.memoryGb) }
+        val inReach =
+            fitting.filter {
+                reaches(it, spec, worst, patienceS) &&
+                    it.occupancy.hasRoomFor(spec.cpus + reserve.margin(it, spec), spec.gpus, spec.memoryGb)
+            }
         val withCapacity = MachineRanking(spec, inReach)
         val tasks = job.waiting(allowed).iterator()
         var planned = 0
@@ -157,12 +161,12 @@
                     if (!tasks.hasNext()) break
                     if (r.image > limit) continue
                     val m = r.machine
-                    if (r.image != ImageRank.THERE && m.fetchS(spec.image, spec.imageGb) > patienceS) continue
+                    if (r.image != ImageRank.THERE && m.images.fetchS(spec.image, spec.imageGb) > patienceS) continue
                     val most = if (phase.spreading && spec.shape == Shape.SERVICE) m.type.cpus * PlacementConstants.SPREAD_CPU_FRACTION else m.type.cpus
                     while (
                         tasks.hasNext() &&
-                        m.serviceCpus + spec.cpus <= most &&
-                        m.holds(spec.cpus + reserve.margin(m, spec), spec.gpus, spec.memoryGb) &&
+                        m.occupancy.serviceCpus + spec.cpus <= most &&
+                        m.occupancy.hasRoomFor(spec.cpus + reserve.margin(m, spec), spec.gpus, spec.memoryGb) &&
                         zones.allows(m.zone)
                     ) {
                         reserve.taken(m, spec.cpus)
@@ -188,7 +192,7 @@
         patienceS: Double,
     ): Boolean {
         val image = ImageRank.of(m, spec.image)
-        return image == ImageRank.THERE || (image <= worst && m.fetchS(spec.image, spec.imageGb) <= patienceS)
+        return image == ImageRank.THERE || (image <= worst && m.images.fetchS(spec.image, spec.imageGb) <= patienceS)
     }
 
     private fun fewFailed(
@@ -223,7 +227,7 @@
         cluster.occupy(job, index, number, m, m.incarnation)
         job.lastPlanAtMs = nowMs
         if (job.spec.shape == Shape.SERVICE) {
-            log("placing ${job.spec.id}/$index on ${m.id}, image ${if (m.hasImage(job.spec.image)) "there" else "to fetch"}")
+            log("placing ${job.spec.id}/$index on ${m.id}, image ${if (m.images.has(job.spec.image)) "there" else "to fetch"}")
         }
     }
 
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -60,7 +60,7 @@
         var room = 0
         for (m in best.sortedByDescending { it.freeCpus }) {
             if (room >= gang.waitingCount) break
-            room += roomFor(spec, m.type.cpus - m.serviceCpus, m.type.gpus, m.type.memoryGb)
+            room += roomFor(spec, m.type.cpus - m.occupancy.serviceCpus, m.type.gpus, m.type.memoryGb)
             chosen.add(m)
         }
         return chosen
