--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -4,8 +4,8 @@
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.JobPhase
 import mintfield.core.model.Shape
+import mintfield.io.store.FinalStateCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
@@ -50,19 +50,19 @@
     /** Reads the final state of a job that the current view does not show; false without an answer. */
     private suspend fun readFinalState(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        found.value?.let { Records.parseFinal(it.data) }?.let { replicator.ended(id, it) }
+        found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }?.let { replicator.ended(id, it) }
         return true
     }
 
     private fun isService(job: KnownJob) = job is KnownJob.Live && job.job.spec.shape == Shape.SERVICE
 
-    private fun isDone(job: KnownJob) = job is KnownJob.Ended && job.state.stage == JobPhase.DONE
+    private fun isDone(job: KnownJob) = job is KnownJob.Ended && job.state.phase == JobPhase.DONE
 
     private fun isCancelled(
         id: String,
         job: KnownJob,
     ) = when (job) {
-        is KnownJob.Ended -> job.state.stage == JobPhase.CANCELLED
+        is KnownJob.Ended -> job.state.phase == JobPhase.CANCELLED
         is KnownJob.Live -> job.job.cancelled || replicator.dependencies.isCancelledByDependency(id)
         KnownJob.Unreadable -> false
     }
--- a/src/main/kotlin/mintfield/io/http/HttpStatus.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpStatus.kt
@@ -18,6 +18,12 @@
     const val NOT_IMPLEMENTED = 501
     const val SERVICE_UNAVAILABLE = 503
 
+    /** The lowest status that reports a failure of either side. */
+    const val FIRST_ERROR = 400
+
+    /** The lowest status that reports a failure of the server. */
+    const val FIRST_SERVER_ERROR = 500
+
     /** The reason phrase that is sent with [status]. Recipients ignore it, so that rarely sent codes share one. */
     fun reasonPhrase(status: Int): String =
         when (status) {
--- a/src/main/kotlin/mintfield/io/http/Reply.kt
+++ b/src/main/kotlin/mintfield/io/http/Reply.kt
@@ -1,7 +1,6 @@
 package mintfield.io.http
 
 import mintfield.io.json.Json
-import mintfield.io.json.asMap
 
 /** The outcome of a call of [HttpClient]. */
 sealed interface Reply {
@@ -11,7 +10,7 @@
         val body: ByteArray,
     ) : Reply {
         /** The body as a JSON object; empty if it is none. */
-        val json: Map<String, Any?> by lazy(LazyThreadSafetyMode.NONE) { Json.parse(body).asMap() ?: emptyMap() }
+        val json: Map<String, Any?> by lazy(LazyThreadSafetyMode.NONE) { Json.parseObject(body) ?: emptyMap() }
     }
 
     /**
