--- a/src/main/kotlin/mintfield/io/http/HttpStatus.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpStatus.kt
@@ -1,19 +1,21 @@
 package mintfield.io.http
 
-/** The status codes of HTTP that mintfield gives or expects. */
+/** The HTTP status codes that mintfield sends or tells apart (RFC 9110). */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
     const val BAD_REQUEST = 400
     const val NOT_FOUND = 404
+    const val METHOD_NOT_ALLOWED = 405
     const val CONFLICT = 409
-
-    /** What was asked for is no longer kept. */
     const val GONE = 410
-
-    /** Well formed, but it can never be carried out. */
-    const val UNPROCESSABLE = 422
+    const val CONTENT_TOO_LARGE = 413
+    const val MISDIRECTED_REQUEST = 421
+    const val UNPROCESSABLE_CONTENT = 422
     const val TOO_MANY_REQUESTS = 429
+    const val HEADER_FIELDS_TOO_LARGE = 431
+    const val INTERNAL_SERVER_ERROR = 500
+    const val NOT_IMPLEMENTED = 501
     const val SERVICE_UNAVAILABLE = 503
 
     /** The lowest status that reports a failure of either side. */
@@ -21,4 +23,23 @@
 
     /** The lowest status that reports a failure of the server. */
     const val FIRST_SERVER_ERROR = 500
+
+    /** The reason phrase that is sent with [status]. Recipients ignore it, so that rarely sent codes share one. */
+    fun reasonPhrase(status: Int): String =
+        when (status) {
+            OK -> "OK"
+            CREATED -> "Created"
+            BAD_REQUEST -> "Bad Request"
+            NOT_FOUND -> "Not Found"
+            METHOD_NOT_ALLOWED -> "Method Not Allowed"
+            CONFLICT -> "Conflict"
+            CONTENT_TOO_LARGE -> "Content Too Large"
+            MISDIRECTED_REQUEST -> "Misdirected Request"
+            UNPROCESSABLE_CONTENT -> "Unprocessable Content"
+            TOO_MANY_REQUESTS -> "Too Many Requests"
+            HEADER_FIELDS_TOO_LARGE -> "Request Header Fields Too Large"
+            NOT_IMPLEMENTED -> "Not Implemented"
+            SERVICE_UNAVAILABLE -> "Service Unavailable"
+            else -> "Status"
+        }
 }
