--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -99,7 +99,7 @@
     private suspend fun refuseImpossible(
         id: String,
         reason: String,
-    ): Response = answers.existingOr(id) { Response.error(HttpStatus.UNPROCESSABLE, reason) }
+    ): Response = answers.existingOr(id) { Response.error(HttpStatus.UNPROCESSABLE_CONTENT, reason) }
 
     private suspend fun acceptIfOpen(
         spec: JobSpec,
--- a/src/main/kotlin/mintfield/core/fleet/ListedMachine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ListedMachine.kt
@@ -6,14 +6,13 @@
     val type: String,
     val zone: String,
     val spot: Boolean,
-    /** The cloud's own word for where the machine stands. */
-    val stage: String,
+    val stage: MachineStage,
     /** Seconds since it was provisioned. */
     val heldS: Double,
 ) {
     /** Whether the machine has broken down by itself. */
-    val hasFailed: Boolean get() = stage == "failed"
+    val hasFailed: Boolean get() = stage == MachineStage.FAILED
 
     /** Whether the machine still boots. */
-    val isBooting: Boolean get() = stage == "starting"
+    val isBooting: Boolean get() = stage == MachineStage.BOOTING
 }
--- a/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
+++ b/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
@@ -2,6 +2,7 @@
 
 import mintfield.core.ScaleOutIntent
 import mintfield.core.fleet.ListedMachine
+import mintfield.core.fleet.MachineStage
 import mintfield.core.model.MachineType
 import mintfield.io.http.Reply
 import mintfield.io.json.Json
@@ -34,6 +35,9 @@
     private const val MACHINES = "plots"
     private const val MACHINE = "id"
     private const val STAGE = "stage"
+    private const val STAGE_STARTING = "starting"
+    private const val STAGE_RUNNING = "running"
+    private const val STAGE_FAILED = "failed"
 
     /** Seconds since the machine was requested. */
     private const val HELD_S = "heldS"
@@ -106,11 +110,19 @@
             type = json.string(TYPE) ?: "",
             zone = json.string(ZONE) ?: "",
             spot = json.bool(SPOT) ?: false,
-            stage = json.string(STAGE) ?: "",
+            stage = stageOf(json.string(STAGE)),
             heldS = json.double(HELD_S) ?: 0.0,
         )
     }
 
+    private fun stageOf(word: String?): MachineStage =
+        when (word) {
+            STAGE_STARTING -> MachineStage.BOOTING
+            STAGE_RUNNING -> MachineStage.RUNNING
+            STAGE_FAILED -> MachineStage.FAILED
+            else -> MachineStage.UNKNOWN
+        }
+
     /** Whether a response says that there is no capacity. */
     fun reportsNoCapacity(answer: Reply.Answer): Boolean = answer.json.string(ERROR) == ERROR_NO_CAPACITY
 }
