--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -50,8 +50,8 @@
 
         /** Whether [change] can be added. A transaction that writes a key twice, as two users cancel the same job, is malformed. */
         fun hasRoomFor(change: Change): Boolean {
-            val fits = ops + change.writes.size <= maxOps && bytes + change.bytes <= StoreConstants.MAX_TXN_BYTES
-            return (fits || changes.isEmpty()) && change.writes.none { it.key in keys }
+            val withinLimits = ops + change.writes.size <= maxOps && bytes + change.bytes <= StoreConstants.MAX_TXN_BYTES
+            return (withinLimits || changes.isEmpty()) && change.writes.none { it.key in keys }
         }
 
         fun add(change: Change) {
