--- a/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
+++ b/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
 import mintfield.io.http.HttpMessage
+import mintfield.io.http.HttpStatus
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.json.asList
@@ -15,8 +16,11 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * The store's protocol over a map in memory: revisions, guards, leases and watches. The training run of the class-data
- * archive and the tests use it; it keeps nothing and enforces no rates. To be called on [loop] only, but for [plant].
+ * A key-value store that speaks the protocol of the state service over a map in memory: revisions, preconditions, leases and watches.
+ * The training run of the class-data archive and the tests use it. It enforces no rates, and every lease that is renewed gets the same
+ * time.
+ *
+ * To be called on [loop] only, except [plant]; the settings of faults may be changed from any thread.
  */
 class InMemoryStateService(
     private val loop: EventLoop,
@@ -47,7 +51,7 @@
     /** Refuses everything, as in an outage. */
     @Volatile var down = false
 
-    /** Gives no answer at all, as if it were behind a cut. */
+    /** Gives no answer at all, as behind a network partition. */
     @Volatile var unresponsive = false
 
     /** Submissions that one transaction may hold; a larger one is refused as too many. */
@@ -75,34 +79,34 @@
     fun leaseOf(key: String): Long? = items[key]?.lease
 
     /** Answers one request. */
-    suspend fun handle(r: HttpMessage): Response {
+    suspend fun handle(request: HttpMessage): Response {
         expire()
-        if (down) return Response.error(503, "trouble")
+        if (down) return Response.error(HttpStatus.SERVICE_UNAVAILABLE, "trouble")
         while (unresponsive) delay(UNRESPONSIVE_STEP_MS)
-        val path = r.second.substringBefore('?')
+        val path = request.path.substringBefore('?')
         val query =
-            r.second
+            request.path
                 .substringAfter('?', "")
                 .split('&')
                 .associate { it.substringBefore('=') to it.substringAfter('=') }
         return when {
-            path == "/txn" -> txn(Json.parseObject(r.body)!!)
+            path == "/txn" -> txn(Json.parseObject(request.body)!!)
             path == "/watch" -> watch(query)
             path == "/leases" -> {
-                leases[nextLease] = loop.nowMs() + Json.parseObject(r.body)!!.long("lifeMs")!!
+                leases[nextLease] = loop.nowMs() + Json.parseObject(request.body)!!.long("lifeMs")!!
                 ok("""{"tenancy":${nextLease++}}""")
             }
-            path.startsWith("/leases/") -> lease(r.first, path.split('/')[2].toLong())
+            path.startsWith("/leases/") -> lease(request.method, path.split('/')[2].toLong())
             path == "/store" -> list(query)
             else -> {
                 val key = path.removePrefix("/store/")
-                val item = items[key] ?: return Response(404, """{"ledger":$revision}""".toByteArray())
+                val item = items[key] ?: return Response(HttpStatus.NOT_FOUND, """{"ledger":$revision}""".toByteArray())
                 ok("""{"k":"$key","data":${text(item.data)},"mark":${item.revision},"tenancy":${item.lease}}""")
             }
         }
     }
 
-    private fun ok(body: String) = Response(200, body.toByteArray())
+    private fun ok(body: String) = Response(HttpStatus.OK, body.toByteArray())
 
     private fun expire() {
         val now = loop.nowMs()
@@ -126,7 +130,7 @@
         method: String,
         id: Long,
     ): Response {
-        if (id !in leases) return Response.error(404, "no such lease")
+        if (id !in leases) return Response.error(HttpStatus.NOT_FOUND, "no such lease")
         if (method == "DELETE") end(id) else leases[id] = loop.nowMs() + RENEWED_MS
         return ok("{}")
     }
@@ -153,23 +157,34 @@
                 .filter { g -> (items[g.string("k")]?.revision ?: 0) != g.long("mark") }
         if (failed.isNotEmpty()) {
             val names = failed.joinToString(",") { "\"${it.string("k")}\"" }
-            return Response(409, """{"failed":[$names],"ledger":$revision}""".toByteArray())
+            return Response(HttpStatus.CONFLICT, """{"failed":[$names],"ledger":$revision}""".toByteArray())
         }
         val writes = body["writes"].asList().orEmpty().map { it.asMap()!! }
-        val keys = writes.map { it.string("write") ?: it.string("delete") }
-        if (keys.toSet().size < keys.size) return Response.error(400, "a key is written twice")
-        if (writes.size > mostWrites) return Response.error(400, "too many writes")
-        if (writes.any { text(it["data"]).length > mostValueBytes }) return Response.error(400, "a value is too large")
-        if (writes.any { w -> w.long("tenancy")?.let { it !in leases } == true }) return Response.error(400, "no such lease")
-        if (writes.count { "/l/" in it.string("write").orEmpty() } > mostSubmissions) return Response.error(429, "too many")
+        refusal(writes)?.let { return it }
         if (writes.isNotEmpty()) revision++
-        for (w in writes) {
-            w.string("write")?.let { change(it, w["data"], w.long("tenancy"), revision) }
-                ?: change(w.string("delete")!!, null, null, revision)
+        for (write in writes) {
+            write.string("write")?.let { change(it, write["data"], write.long("tenancy"), revision) }
+                ?: change(write.string("delete")!!, null, null, revision)
         }
         return ok("""{"ledger":$revision}""")
     }
 
+    /** Why a transaction with these [writes] is not executed; null if it is. */
+    private fun refusal(writes: List<Map<String, Any?>>): Response? {
+        val keys = writes.map { it.string("write") ?: it.string("delete") }
+        val malformed =
+            when {
+                keys.toSet().size < keys.size -> "a key is written twice"
+                writes.size > mostWrites -> "too many writes"
+                writes.any { text(it["data"]).length > mostValueBytes } -> "a value is too large"
+                writes.any { write -> write.long("tenancy")?.let { it !in leases } == true } -> "no such lease"
+                else -> null
+            }
+        if (malformed != null) return Response.error(HttpStatus.BAD_REQUEST, malformed)
+        val submissions = writes.count { "/l/" in it.string("write").orEmpty() }
+        return if (submissions > mostSubmissions) Response.error(HttpStatus.TOO_MANY_REQUESTS, "too many") else null
+    }
+
     private suspend fun watch(query: Map<String, String>): Response {
         val after = query.getValue("after").toLong()
         val prefix = query.getValue("starts")
--- a/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
@@ -6,13 +6,9 @@
 import mintfield.io.http.HttpClient
 import mintfield.io.http.HttpMessage
 import mintfield.io.http.HttpServer
+import mintfield.io.http.HttpStatus
 import mintfield.io.http.Reply
 import mintfield.io.http.Response
-import mintfield.io.json.Json
-import mintfield.io.json.asList
-import mintfield.io.json.asMap
-import mintfield.io.json.long
-import mintfield.io.json.string
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.scope
 import mintfield.io.settings.SettingsFile
@@ -44,14 +40,14 @@
         }
         val first = start(FIRST)
         val second = start(SECOND)
-        loop.post { scope.launch { use() } }
-        Thread.sleep(USE_MS)
+        loop.post { scope.launch { serveUsers() } }
+        Thread.sleep(SERVE_MS)
         first.stop()
         second.stop()
         // The successors find the leader key, the jobs and the rounds of the processes before them.
         start(FIRST)
         start(SECOND)
-        Thread.sleep(TAKE_OVER_MS)
+        Thread.sleep(FAILOVER_MS)
     }
 
     private fun serve(
@@ -59,21 +55,21 @@
         handler: suspend (HttpMessage) -> Response,
     ) = HttpServer(loop, scope, group, CONNECTIONS, handler).start(InetSocketAddress(LOOPBACK, port))
 
-    private fun start(member: Member): Controller {
+    private fun start(controller: TrainedController): Controller {
         val file = File.createTempFile("mintfield", ".toml")
         file.deleteOnExit()
-        file.writeText(settings(member))
+        file.writeText(settings(controller))
         val node = Controller(SettingsFile.read(file.path))
-        Thread({ node.run() }, member.name).also { it.isDaemon = true }.start()
+        Thread({ node.run() }, controller.name).also { it.isDaemon = true }.start()
         return node
     }
 
-    private suspend fun use() {
+    private suspend fun serveUsers() {
         delay(ELECTION_MS)
         scope.launch { heartbeats(FIRST) }
         scope.launch { heartbeats(SECOND) }
-        for (member in listOf(FIRST, SECOND)) {
-            val client = client(member)
+        for (controller in listOf(FIRST, SECOND)) {
+            val client = client(controller)
             call(client, "GET", "/ready")
             for ((id, tasks) in JOBS) call(client, "POST", "/v1/jobs", job(id, tasks))
             call(client, "GET", "/v1/jobs/wk-000001")
@@ -86,16 +82,16 @@
     }
 
     /** Reports as a worker sends them; the controller that does not lead relays them. */
-    private suspend fun heartbeats(member: Member) {
-        val client = client(member)
+    private suspend fun heartbeats(controller: TrainedController) {
+        val client = client(controller)
         while (true) {
             val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_MS)
-            if (reply is Reply.Answer && reply.status == OK) worker.execute(reply.json)
-            delay(REPORT_MS)
+            if (reply is Reply.Answer && reply.status == HttpStatus.OK) worker.execute(reply.json)
+            delay(HEARTBEAT_MS)
         }
     }
 
-    private fun client(member: Member) = HttpClient(loop, group, InetSocketAddress(LOOPBACK, ports[member.clientPort]), 1)
+    private fun client(controller: TrainedController) = HttpClient(loop, group, InetSocketAddress(LOOPBACK, ports[controller.clientPort]), 1)
 
     private suspend fun call(
         client: HttpClient,
@@ -105,12 +101,12 @@
     ) = client.call(method, path, body?.toByteArray(), CALL_MS)
 
     private fun cloud(request: HttpMessage): Response {
-        val path = request.second.substringBefore('?')
+        val path = request.path.substringBefore('?')
         return when {
-            path == "/machine_types" -> Response(OK, TYPES.toByteArray())
-            path == "/rentals" && request.first == "GET" -> Response(OK, """{"plots":[${listed()}],"hasNext":false}""".toByteArray())
-            path == "/rentals" -> Response.error(UNAVAILABLE, "no capacity")
-            else -> Response(OK, "{}".toByteArray())
+            path == "/machine_types" -> Response(HttpStatus.OK, TYPES.toByteArray())
+            path == "/rentals" && request.method == "GET" -> Response(HttpStatus.OK, """{"plots":[${listed()}],"hasNext":false}""".toByteArray())
+            path == "/rentals" -> Response.error(HttpStatus.SERVICE_UNAVAILABLE, "no capacity")
+            else -> Response(HttpStatus.OK, "{}".toByteArray())
         }
     }
 
@@ -118,19 +114,19 @@
         """{"id":"${WarmUpWorker.MACHINE}","address":"$LOOPBACK:${ports[WORKER]}","breed":"box","field":"a","gleaning":false,
         "stage":"running","heldS":9.5}"""
 
-    private class Member(
+    private class TrainedController(
         val name: String,
         val clientPort: Int,
         val peerPort: Int,
     )
 
-    private fun settings(member: Member): String {
-        val peer = if (member === FIRST) SECOND else FIRST
+    private fun settings(controller: TrainedController): String {
+        val peer = if (controller === FIRST) SECOND else FIRST
         return """
-        member = "${member.name}"
+        member = "${controller.name}"
         zone = "a"
-        client_listen = "$LOOPBACK:${ports[member.clientPort]}"
-        internal_addr = "$LOOPBACK:${ports[member.peerPort]}"
+        client_listen = "$LOOPBACK:${ports[controller.clientPort]}"
+        internal_addr = "$LOOPBACK:${ports[controller.peerPort]}"
         [[siblings]]
         member = "${peer.name}"
         zone = "a"
@@ -144,8 +140,6 @@
 
     private companion object {
         const val LOOPBACK = "127.0.0.1"
-        const val OK = 200
-        const val UNAVAILABLE = 503
         const val CONNECTIONS = 64
 
         /** Indices of the ports in use. */
@@ -153,16 +147,16 @@
         const val CLOUD = 1
         const val WORKER = 2
         const val PORTS = 7
-        val FIRST = Member("a", 3, 4)
-        val SECOND = Member("b", 5, 6)
+        val FIRST = TrainedController("a", 3, 4)
+        val SECOND = TrainedController("b", 5, 6)
 
         /** Milliseconds: an election, a poll, a call's patience, between heartbeats, and the two parts of the run. */
         const val ELECTION_MS = 800L
         const val POLL_MS = 400L
         const val CALL_MS = 900L
-        const val REPORT_MS = 150L
-        const val USE_MS = 4_000L
-        const val TAKE_OVER_MS = 3_500L
+        const val HEARTBEAT_MS = 150L
+        const val SERVE_MS = 4_000L
+        const val FAILOVER_MS = 3_500L
 
         const val TYPES =
             """{"breeds":[{"sku":"box","vcpus":8.0,"cards":0.0,"memoryGb":64.0,"cacheGb":50.0,"fetchGbPerS":1.0,"price":1.0,
@@ -211,63 +205,3 @@
         """
     }
 }
-
-/** A worker whose tasks end after some reports, enough to drive every step of a job. */
-private class WarmUpWorker {
-    private class Task(
-        val id: String,
-        val attempt: Long,
-    ) {
-        var heartbeats = 0
-    }
-
-    private var sequence = 0L
-    private var termSeen = 0L
-    private val tasks = LinkedHashMap<String, Task>()
-
-    fun execute(answer: Map<String, Any?>) {
-        termSeen = maxOf(termSeen, answer.long("staff") ?: 0)
-        for (order in answer["orders"].asList().orEmpty().mapNotNull { it.asMap() }) {
-            val id = order.string("piece") ?: continue
-            if (order.string("verb") == "run") tasks[id] = Task(id, order.long("sowing") ?: 0) else tasks.remove(id)
-        }
-    }
-
-    fun commands(request: HttpMessage): Response {
-        execute(Json.parseObject(request.body).orEmpty())
-        return Response(OK, heartbeat(0))
-    }
-
-    fun heartbeat(port: Int): ByteArray {
-        sequence++
-        return Json.obj {
-            writeStringField("plot", MACHINE)
-            writeStringField("address", "127.0.0.1:$port")
-            writeStringField("breed", "box")
-            writeStringField("field", "a")
-            writeBooleanField("gleaning", false)
-            writeNumberField("season", 1)
-            writeNumberField("tally", sequence)
-            writeNumberField("staff", termSeen)
-            writeNullField("reclaimS")
-            writeArrayFieldStart("pieces")
-            for (task in tasks.values) {
-                writeStartObject()
-                writeStringField("piece", task.id)
-                writeNumberField("sowing", task.attempt)
-                writeStringField("stage", if (++task.heartbeats < ENDS_AFTER) "running" else "ended")
-                if (task.heartbeats >= ENDS_AFTER) writeStringField("cause", "done")
-                writeEndObject()
-            }
-            writeEndArray()
-        }
-    }
-
-    companion object {
-        const val MACHINE = "m-000001"
-        private const val OK = 200
-
-        /** Heartbeats of a task until it has ended. */
-        private const val ENDS_AFTER = 4
-    }
-}
