--- a/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
+++ b/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
@@ -5,8 +5,8 @@
 import mintfield.core.model.Shape
 
 /**
- * Kinds of tasks for which a round has found no place left. A round only takes room, so what one task did not find no other of the
- * same kind will: without this each of thousands of waiting jobs was tried on each of thousands of machines.
+ * Kinds of tasks for which a round has searched all machines in vain. As a round only takes room, what one task did not find no later one
+ * of the same kind will; so thousands of waiting jobs are not each tried on thousands of machines.
  */
 class ExhaustedSearches {
     /** What the choice of a machine depends on, for a job whose tasks may be placed each by itself. */
@@ -23,14 +23,14 @@
     )
 
     /** How far a search went that found nothing. */
-    private class Search(
+    private class Extent(
         val worstImage: Int,
         val patienceS: Double,
     )
 
-    private val searches = HashMap<Kind, MutableList<Search>>()
+    private val searches = HashMap<Kind, MutableList<Extent>>()
 
-    /** Whether a search for a task of [job] as far as [worstImage] and [patienceS] can be spared. */
+    /** Whether a search for a task of [job] as far as images of rank [worstImage] and fetches of [patienceS] seconds is known to be vain. */
     fun covers(
         job: Job,
         worstImage: Int,
@@ -41,21 +41,25 @@
         return searches[kind]?.any { it.worstImage >= worstImage && it.patienceS >= patienceS } ?: false
     }
 
-    /** A search for a task of [job] as far as [worstImage] and [patienceS] has found nothing. */
-    fun note(
+    /** A search for a task of [job] as far as images of rank [worstImage] and fetches of [patienceS] seconds has found nothing. */
+    fun add(
         job: Job,
         worstImage: Int,
         patienceS: Double,
     ) {
         val kind = kindOf(job) ?: return
-        searches.getOrPut(kind) { ArrayList(2) }.add(Search(worstImage, patienceS))
+        searches.getOrPut(kind) { ArrayList(EXTENTS_EXPECTED) }.add(Extent(worstImage, patienceS))
     }
 
-    /** Null if the choice depends on more: on where other tasks of the job are or failed, or on what it may displace. */
+    /** Null if the choice depends on more: on where other tasks of the job are or have failed, or on what it may preempt. */
     private fun kindOf(job: Job): Kind? {
         val spec = job.spec
         if (spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return null
         if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) return null
         return Kind(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
     }
+
+    private companion object {
+        const val EXTENTS_EXPECTED = 2
+    }
 }
--- a/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
+++ b/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
@@ -7,59 +7,63 @@
 import mintfield.core.model.Shape
 
 /**
- * Room on ordinary machines that arrays leave to new replicas, so that those need not displace anything. How much follows
- * from how many replicas come and go, not from the number of machines: a place kept on each of hundreds left a twentieth of
- * the fleet idle while thousands of tasks waited. While more is free than wanted arrays take any room; after that they
- * leave one place on each machine that still has more.
+ * Room on ordinary machines that arrays leave to new replicas of services, so that those need not preempt anything. Its size follows from
+ * how many replicas come and go, and not from the number of machines, as room kept on each of hundreds would leave much of the fleet idle.
+ * While more than the wanted room is free, arrays may take any; after that they leave room for one replica on each machine that has it.
  */
 class ReplicaReserve(
     cluster: Cluster,
-    open: List<Machine>,
+    openMachines: List<Machine>,
 ) {
     /** CPUs of the largest replica; 0 if there is no service. */
-    private val each: Double
-    private val wanted: Double
-    private var free = 0.0
+    private val replicaCpus: Double
+    private val wantedCpus: Double
+    private var freeCpus = 0.0
 
     init {
-        var most = 0.0
+        var largest = 0.0
         var held = 0.0
-        for (job in cluster.jobs.values) if (job.spec.shape == Shape.SERVICE) most = maxOf(most, job.spec.cpus)
-        for (m in open) held += m.occupancy.serviceCpus
-        each = most
-        wanted = maxOf(most * PlacementConstants.RESERVE_REPLICAS, held * PlacementConstants.RESERVE_CPU_FRACTION)
-        for (m in open) free += roomOn(m, 0.0)
+        for (job in cluster.jobs.values) if (job.spec.shape == Shape.SERVICE) largest = maxOf(largest, job.spec.cpus)
+        for (machine in openMachines) held += machine.occupancy.serviceCpus
+        replicaCpus = largest
+        wantedCpus = maxOf(largest * PlacementConstants.RESERVE_REPLICAS, held * PlacementConstants.RESERVE_CPU_FRACTION)
+        for (machine in openMachines) freeCpus += replicaRoom(machine, 0.0)
     }
 
-    private fun roomOn(
-        m: Machine,
-        less: Double,
-    ): Double = if (m.spot || each <= 0) 0.0 else maxOf(0.0, Math.floor((m.freeCpus - less) / each + EPSILON)) * each
+    /** CPUs on [machine] that whole replicas of the largest size could take, if a task took [takenCpus] of its free ones. */
+    private fun replicaRoom(
+        machine: Machine,
+        takenCpus: Double,
+    ): Double {
+        if (machine.spot || replicaCpus <= 0) return 0.0
+        return maxOf(0.0, Math.floor((machine.freeCpus - takenCpus) / replicaCpus + EPSILON)) * replicaCpus
+    }
 
-    /**
-     * CPUs that a task of [spec] must leave free on [m]: none unless it is an array's, and none if it takes the whole machine or
-     * nearly, as it would never find room beside a place that is left to replicas.
-     */
+    /** CPUs that a task of [spec] must leave free on [machine]; none unless the job is an array. */
     fun margin(
-        m: Machine,
+        machine: Machine,
         spec: JobSpec,
-    ): Double = if (spec.shape != Shape.ARRAY) 0.0 else margin(m, spec.cpus)
+    ): Double = if (spec.shape != Shape.ARRAY) 0.0 else margin(machine, spec.cpus)
 
-    /** The same for a task of an array that takes [cpus]. */
+    /**
+     * CPUs that a task of an array which takes [cpus] must leave free on [machine]; none if it takes nearly the whole machine, as it
+     * would never find room beside a replica.
+     */
     fun margin(
-        m: Machine,
+        machine: Machine,
         cpus: Double,
-    ): Double = if (m.spot || free > wanted || cpus + each > m.type.cpus) 0.0 else each
+    ): Double = if (machine.spot || freeCpus > wantedCpus || cpus + replicaCpus > machine.type.cpus) 0.0 else replicaCpus
 
-    /** A task of [cpus] is about to be planned on [m]. */
+    /** A task of [cpus] is about to be planned on [machine]. */
     fun taken(
-        m: Machine,
+        machine: Machine,
         cpus: Double,
     ) {
-        free -= roomOn(m, 0.0) - roomOn(m, cpus)
+        freeCpus -= replicaRoom(machine, 0.0) - replicaRoom(machine, cpus)
     }
 
     private companion object {
+        /** Tolerance for sums of fractions. */
         const val EPSILON = 1e-6
     }
 }
--- /dev/null
+++ b/src/test/kotlin/mintfield/core/placement/SchedulingRoundTest.kt
@@ -0,0 +1,69 @@
+package mintfield.core.placement
+
+import mintfield.Fixtures
+import mintfield.core.Scheduler
+import mintfield.core.Write
+import mintfield.core.model.JobSpec
+import mintfield.core.model.Priority
+import mintfield.core.model.Shape
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Where a scheduling round places tasks, and which it lets wait. */
+class SchedulingRoundTest {
+    private fun scheduler(
+        machines: Int,
+        image: String? = null,
+    ): Scheduler {
+        val s = Scheduler(Fixtures.settings, 1) {}
+        s.types(listOf(Fixtures.box), 1_000)
+        s.replayDone(1_000)
+        repeat(machines) { i -> s.heartbeat(Fixtures.heartbeat("m-%03d".format(i), 1, 1), mayAct = true, nowMs = 1_000) }
+        image?.let {
+            s.cluster.machines
+                .getValue("m-000")
+                .images
+                .markPresent(it, 1.0)
+        }
+        return s
+    }
+
+    private var now = 2_000L
+
+    private fun Scheduler.planned(job: String): Int {
+        now += 300
+        val round = nextCommit(now, now, 16)?.writes?.filterIsInstance<Write.RecordRound>().orEmpty()
+        return round.sumOf { w ->
+            w.record.parts
+                .filter { it.job == job }
+                .sumOf { p -> p.plans.sumOf { it.indices.size } }
+        }
+    }
+
+    private fun Scheduler.submit(spec: JobSpec) = jobChanged(Fixtures.accepted(spec, 1), 1_000)
+
+    @Test
+    fun `arrays leave room for new replicas, but not on each machine`() {
+        val s = scheduler(40)
+        s.submit(Fixtures.spec("wk-000001", shape = Shape.SERVICE, priority = Priority.HIGH, spot = false))
+        s.submit(Fixtures.spec("wk-000002", tasks = 300))
+        val planned = s.planned("wk-000002")
+        assertTrue(planned > 160 - 1 - 40, "only $planned of 160: a place on each of forty machines would be kept")
+        val free =
+            s.cluster.machines.values
+                .count { it.freeCpus >= 1 }
+        assertTrue(free >= 8, "room on $free machines: the last 32 places are filled only up to one on each")
+    }
+
+    @Test
+    fun `a task waits for room where its image is when a fetch would take longer`() {
+        val s = scheduler(2, image = "img-1")
+        s.submit(Fixtures.spec("wk-000001", tasks = 4, image = "img-1"))
+        assertEquals(4, s.planned("wk-000001"), "all where the image is")
+        s.submit(Fixtures.spec("wk-000002", tasks = 1, image = "img-1"))
+        assertEquals(0, s.planned("wk-000002"), "a slot comes free within five seconds, a fetch takes ten")
+        s.submit(Fixtures.spec("wk-000003", tasks = 4, image = "img-1"))
+        assertTrue(s.planned("wk-000003") > 0, "for five tasks the wait would be longer than the fetch")
+    }
+}
