--- a/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
@@ -88,7 +88,7 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             val field = parser.currentName()
             val token = parser.nextToken()
-            if (field == TASKS && token == JsonToken.START_ARRAY) {
+            if (token == JsonToken.START_ARRAY && field == TASKS) {
                 cacheableFrom = parser.currentTokenLocation().byteOffset.toInt()
                 val cached = cache?.find(machine, bytes, cacheableFrom)
                 tasks = cached ?: readTasks(parser)
