--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -65,10 +65,10 @@
     fun team(name: String) = teams[name]
 
     /** The token of commands to [m]: the leader's term, or the revision at which the machine became its own if that is higher. */
-    fun token(m: Machine): Long = maxOf(term, m.fencing.epoch)
+    fun token(m: Machine): Long = maxOf(term, m.lease.epoch)
 
     /** Whether [m] has seen a token that nobody but this leader has given it, so that nobody else has renewed its lease since. */
-    fun hasSeenOurToken(m: Machine): Boolean = m.termSeen >= maxOf(firstTerm, m.fencing.epoch)
+    fun hasSeenOurToken(m: Machine): Boolean = m.termSeen >= maxOf(firstTerm, m.lease.epoch)
 
     fun usage(team: String): Usage = usage.getOrPut(team) { Usage() }
 
--- a/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
@@ -20,14 +20,19 @@
     var quarantinedUntilMs = 0L
         private set
 
-    /** Number of jobs among [failures] of which it is not known whether they can succeed. */
-    val suspectJobs: Int get() = suspects.size
+    /**
+     * Number of jobs among [failures] of which it is not known whether they can succeed. A field of its own, as each tick reads it for each
+     * machine.
+     */
+    var suspectJobs = 0
+        private set
 
     /** A task has succeeded here. */
     fun succeeded() {
         failures = 0
         attributedFailures = 0
         suspects.clear()
+        suspectJobs = 0
     }
 
     /** A task of a healthy job has failed here. */
@@ -39,7 +44,7 @@
     /** A task of [job], which has neither succeeded nor become suspect, has failed here. */
     fun failedForUnknownCause(job: String) {
         failures++
-        suspects.add(job)
+        if (suspects.add(job)) suspectJobs++
     }
 
     /** Attributes the [times] failures of [job] here to the machine, unless the machine has succeeded since. */
@@ -47,7 +52,7 @@
         job: String,
         times: Int,
     ) {
-        if (suspects.remove(job)) attributedFailures += times
+        if (removeSuspect(job)) attributedFailures += times
     }
 
     /** Attributes the [times] failures of [job] here to the job; ends the quarantine if nothing else speaks for it. */
@@ -56,9 +61,15 @@
         times: Int,
         nowMs: Long,
     ) {
-        if (!suspects.remove(job)) return
+        if (!removeSuspect(job)) return
         failures = maxOf(0, failures - times)
-        if (suspects.isEmpty() && attributedFailures == 0) quarantinedUntilMs = nowMs
+        if (suspectJobs == 0 && attributedFailures == 0) quarantinedUntilMs = nowMs
+    }
+
+    private fun removeSuspect(job: String): Boolean {
+        val removed = suspects.remove(job)
+        if (removed) suspectJobs--
+        return removed
     }
 
     /** Plans no new tasks here before [untilMs], as the machine fails them. */
--- a/src/main/kotlin/mintfield/core/fleet/ForeignTasks.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ForeignTasks.kt
@@ -2,22 +2,10 @@
 
 import mintfield.core.model.TaskId
 
-/** The foreign tasks on one machine, by its newest heartbeat, and the resources that they take. */
+/** The foreign tasks on one machine, by its newest heartbeat. */
 class ForeignTasks {
     private val tasks = LinkedHashMap<TaskId, ForeignTask>()
 
-    /** CPUs of those that have not ended. */
-    var cpus = 0.0
-        private set
-
-    /** GPUs of those that have not ended. */
-    var gpus = 0.0
-        private set
-
-    /** GB of memory of those that have not ended. */
-    var memoryGb = 0.0
-        private set
-
     /** Whether none takes room. */
     val isEmpty: Boolean get() = tasks.values.all { it.ended }
 
@@ -28,17 +16,12 @@
     operator fun get(task: TaskId): ForeignTask? = tasks[task]
 
     /** Replaces what was known by [found], which a newer heartbeat shows. What is wanted of a task that is still there stays wanted. */
-    fun replace(found: List<ForeignTask>) {
-        if (found.isEmpty() && tasks.isEmpty()) return
+    internal fun replace(found: List<ForeignTask>) {
         for (foreign in found) {
             val earlier = tasks[foreign.status.task] ?: continue
             if (earlier.status.attempt == foreign.status.attempt) foreign.carryOver(earlier)
         }
         tasks.clear()
         found.associateByTo(tasks) { it.status.task }
-        val running = found.filter { !it.ended }
-        cpus = running.sumOf { it.spec.cpus }
-        gpus = running.sumOf { it.spec.gpus }
-        memoryGb = running.sumOf { it.spec.memoryGb }
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/Machine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Machine.kt
@@ -29,12 +29,9 @@
     /** What its heartbeats have shown. */
     val heartbeats = HeartbeatRecord()
 
-    /** The lease of its worker. */
+    /** The lease of its worker, and the terms that fence commands to it. */
     val lease = WorkerLease()
 
-    /** The terms that fence commands to it. */
-    val fencing = FencingTerms()
-
     /** Whether responses and commands reach it. */
     val reachability = Reachability()
 
@@ -121,7 +118,7 @@
     ): Boolean =
         state == MachineState.UP &&
             heartbeats.terminationAtMs == null &&
-            termSeen >= fencing.required &&
+            termSeen >= lease.requiredTerm &&
             reachability.isReachable &&
             !isHeldBack(nowMs) &&
             nowMs - heartbeats.lastUnpromptedAtMs < freshMs
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -37,7 +37,7 @@
         val machine = Machine(id, type, zone, spot)
         machine.origin.seenSince(nowMs)
         adoptedAtMs.remove(id)?.let { machine.origin.adopted(it) }
-        machine.fencing.own(cluster.firstTerm, cluster.ownership.epoch(id))
+        machine.lease.own(cluster.firstTerm, cluster.ownership.epoch(id))
         cluster.machines[id] = machine
         return machine
     }
@@ -84,8 +84,7 @@
         }
         if (machine.state != MachineState.OWNED_ELSEWHERE) return
         machine.moveTo(MachineState.PROVISIONING, nowMs)
-        machine.fencing.adopt(cluster.firstTerm, cluster.ownership.epoch(id))
-        machine.lease.renew(nowMs)
+        machine.lease.adopt(cluster.firstTerm, cluster.ownership.epoch(id), nowMs)
         machine.origin.seenSince(nowMs)
         machine.origin.adopted(nowMs)
         machine.heartbeats.discardLatest()
@@ -130,7 +129,6 @@
         if (typeName !in cluster.types || old.state == MachineState.TERMINATING || !cluster.ownership.owns(old.id)) return old
         cluster.machines.remove(old.id)
         val machine = machine(old.id, typeName, zone, spot, nowMs) ?: return null
-        machine.fencing.recordUnacknowledged(old.fencing.unacknowledged)
         machine.origin.adopted(old.origin.adoptedAtMs)
         machine.lease.copyFrom(old.lease)
         moveAttempts(old, machine, nowMs)
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -31,7 +31,7 @@
                 MachineState.UNRESPONSIVE -> checkUnresponsive(machine, nowMs, machine.zone in unresponsiveZones)
                 else -> {}
             }
-            if (machine.attempts.isNotEmpty() && machine.state != MachineState.OWNED_ELSEWHERE) checkLease(machine, nowMs)
+            if (machine.occupancy.hasAttempts && machine.state != MachineState.OWNED_ELSEWHERE) checkLease(machine, nowMs)
             if (machine.state == MachineState.UP && isFaulty(machine.failureRecord)) releases.schedule(machine, nowMs, "its tasks fail")
         }
     }
@@ -49,7 +49,7 @@
         val silent = HashMap<String, Int>()
         val all = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
-            val neverUp = machine.lastContactAtMs == Machine.NEVER && machine.attempts.isEmpty()
+            val neverUp = machine.lastContactAtMs == Machine.NEVER && !machine.occupancy.hasAttempts
             if (machine.state == MachineState.OWNED_ELSEWHERE || neverUp) continue
             all.merge(machine.zone, 1, Int::plus)
             if (isSilent(machine, nowMs)) silent.merge(machine.zone, 1, Int::plus)
@@ -74,7 +74,7 @@
             return releases.schedule(machine, nowMs, "unreachable for ${seconds(nowMs - reachability.sinceMs)} s")
         }
         val limitMs = cluster.settings.cancelS * TimeUnits.MS_PER_SECOND * WorkerConstants.CANCEL_RELEASE_FRACTION
-        val foreign = machine.foreignTasks.notStopped(nowMs - limitMs.toLong())
+        val foreign = if (machine.occupancy.hasForeignTasks) machine.foreignTasks.notStopped(nowMs - limitMs.toLong()) else null
         if (foreign != null) return releases.schedule(machine, nowMs, "${foreign.status.task} of another shard does not stop there")
         if (machine.count(AttemptState.STOPPING) == 0) return
         val attempt = machine.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limitMs }
@@ -86,7 +86,7 @@
         nowMs: Long,
         zoneUnresponsive: Boolean,
     ) {
-        if (machine.attempts.isNotEmpty() || machine.origin.isAdopted) {
+        if (machine.occupancy.hasAttempts || machine.origin.isAdopted) {
             // What a plan names has been up. If it died before the failover, only its release proves that its tasks are gone.
             val silentMs = nowMs - maxOf(machine.origin.firstSeenAtMs, startedAtMs)
             if (silentMs > firstHeartbeatLimitMs(machine, zoneUnresponsive)) {
@@ -106,7 +106,7 @@
         zoneUnresponsive: Boolean,
     ): Long =
         when {
-            machine.provisional && machine.attempts.isNotEmpty() -> cluster.timings.unlistedReleaseMs
+            machine.provisional && machine.occupancy.hasAttempts -> cluster.timings.unlistedReleaseMs
             zoneUnresponsive -> FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS
             machine.origin.isAdopted -> maxOf(cluster.timings.replayedReleaseMs, listing.lagMs())
             else -> cluster.timings.replayedReleaseMs
--- a/src/main/kotlin/mintfield/core/fleet/Occupancy.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Occupancy.kt
@@ -18,6 +18,22 @@
     private var plannedGpus = 0.0
     private var plannedMemoryGb = 0.0
 
+    /** CPUs of foreign tasks that have not ended. Kept here, as each round reads it for each machine. */
+    var foreignCpus = 0.0
+        private set
+    private var foreignGpus = 0.0
+    private var foreignMemoryGb = 0.0
+
+    /** Whether the newest heartbeat shows foreign tasks, ended or not. */
+    var hasForeignTasks = false
+        private set
+
+    /** Number of [attempts]; a field of its own, as each tick reads it for each machine. */
+    private var plannedCount = 0
+
+    /** Whether there are any [attempts]. */
+    val hasAttempts: Boolean get() = plannedCount > 0
+
     /** This leader's attempts on the machine, in the order in which they were planned. */
     val attempts: Set<Attempt> get() = planned
 
@@ -36,20 +52,21 @@
         private set
 
     /** CPUs that nothing takes. */
-    val freeCpus: Double get() = type.cpus - plannedCpus - foreignTasks.cpus
+    val freeCpus: Double get() = type.cpus - plannedCpus - foreignCpus
 
     /** GPUs that nothing takes. */
-    val freeGpus: Double get() = type.gpus - plannedGpus - foreignTasks.gpus
+    val freeGpus: Double get() = type.gpus - plannedGpus - foreignGpus
 
     /** GB of memory that nothing takes. */
-    val freeMemoryGb: Double get() = type.memoryGb - plannedMemoryGb - foreignTasks.memoryGb
+    val freeMemoryGb: Double get() = type.memoryGb - plannedMemoryGb - foreignMemoryGb
 
     /** Whether any task takes room here. */
-    val inUse: Boolean get() = planned.isNotEmpty() || !foreignTasks.isEmpty
+    val inUse: Boolean get() = hasAttempts || !foreignTasks.isEmpty
 
     /** Adds [attempt]; false if it is there already. */
     fun add(attempt: Attempt): Boolean {
         if (!planned.add(attempt)) return false
+        plannedCount++
         reconciled = false
         countByState[attempt.state.ordinal]++
         val spec = attempt.job.spec
@@ -63,9 +80,10 @@
     /** Removes [attempt]; false if it is not there. */
     fun remove(attempt: Attempt): Boolean {
         if (!planned.remove(attempt)) return false
+        plannedCount--
         reconciled = false
         countByState[attempt.state.ordinal]--
-        if (planned.isEmpty()) {
+        if (!hasAttempts) {
             clearSums()
             return true
         }
@@ -85,6 +103,17 @@
         plannedMemoryGb = 0.0
     }
 
+    /** Replaces the foreign tasks by [found], which a newer heartbeat shows. */
+    fun replaceForeignTasks(found: List<ForeignTask>) {
+        if (found.isEmpty() && !hasForeignTasks) return
+        foreignTasks.replace(found)
+        hasForeignTasks = found.isNotEmpty()
+        val running = found.filter { !it.ended }
+        foreignCpus = running.sumOf { it.spec.cpus }
+        foreignGpus = running.sumOf { it.spec.gpus }
+        foreignMemoryGb = running.sumOf { it.spec.memoryGb }
+    }
+
     /** An attempt here changes its state. */
     fun stateChanged(
         from: AttemptState,
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -32,9 +32,11 @@
         var probes = 0
         for (m in cluster.machines.values) {
             if (calls.size >= if (lost) 1 else most) break
+            // Asked first, since it passes over most of thousands of machines.
+            if (m.count(AttemptState.PLANNED) == 0 && m.reachability.state != ReachabilityState.UNREACHABLE) continue
             if (m.state != MachineState.UP || m.directRoute.inFlight || nowMs < m.directRoute.pausedUntilMs || m.directRoute.isUnlikely) continue
             if (nowMs - m.heartbeats.lastUnpromptedAtMs > cluster.timings.heartbeatTimeoutMs ||
-                m.fencing.unacknowledged >= cluster.token(m) ||
+                m.lease.unacknowledgedTerm >= cluster.token(m) ||
                 !cluster.ownership.mayStart(m.id)
             ) {
                 continue
@@ -44,7 +46,7 @@
                 if (++probes <= PROBES_AT_ONCE && most > cluster.bounds.directCalls / 2) probe(m, nowMs)?.let { calls.add(it) }
                 continue
             }
-            if (m.count(AttemptState.PLANNED) == 0 || m.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) continue
+            if (m.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) continue
             val address = m.heartbeats.address ?: continue
             val commands = heartbeats.commands(m, viaHeartbeat = false, nowMs)
             if (commands.none { it is WorkerCommand.Start }) continue
@@ -91,7 +93,7 @@
         }
         m.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
-        if (sent) m.fencing.recordUnacknowledged(call.term)
+        if (sent) m.lease.recordUnacknowledged(call.term)
         log("no answer from ${m.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -66,7 +66,7 @@
     private fun updateForeignTasks(
         m: Machine,
         heartbeat: Heartbeat,
-    ) = m.foreignTasks.replace(
+    ) = m.occupancy.replaceForeignTasks(
         heartbeat.tasks.mapNotNull { t ->
             if (t.task.job in cluster.jobs) return@mapNotNull null
             cluster.ownership.foreignSpec(t.task.job)?.let { ForeignTask(it, t) }
@@ -104,7 +104,7 @@
     private fun trusted(
         m: Machine,
         heartbeat: Heartbeat,
-    ) = heartbeat.termSeen > m.fencing.unacknowledged && !m.directRoute.inFlight
+    ) = heartbeat.termSeen > m.lease.unacknowledgedTerm && !m.directRoute.inFlight
 
     /**
      * Whether a start of a cancelled job that got no answer may yet be carried out there. Only a higher term rules that out,
@@ -204,7 +204,7 @@
         if (!viaHeartbeat) return
         if (trusted) {
             cluster.release(a, nowMs, gone)
-        } else if (a.machine.fencing.unacknowledged >= cluster.token(a.machine)) {
+        } else if (a.machine.lease.unacknowledgedTerm >= cluster.token(a.machine)) {
             cluster.raiseWanted = true
         }
     }
@@ -256,7 +256,7 @@
                 if (viaHeartbeat && a == null && mayAcknowledge(t, job)) {
                     if (trusted) {
                         acknowledgements.add(WorkerCommand.Acknowledge(t.task, t.attempt))
-                    } else if (m.fencing.unacknowledged >= cluster.token(m)) {
+                    } else if (m.lease.unacknowledgedTerm >= cluster.token(m)) {
                         cluster.raiseWanted = true
                     }
                 }
--- a/src/main/kotlin/mintfield/core/placement/FailoverSettling.kt
+++ b/src/main/kotlin/mintfield/core/placement/FailoverSettling.kt
@@ -34,5 +34,5 @@
 
     /** Whether [machine] has sent no heartbeat since the failover, or only what may be a late copy: it will most likely take tasks soon. */
     private fun isExpected(machine: Machine) =
-        machine.state == MachineState.PROVISIONING || (machine.state == MachineState.UP && machine.termSeen < machine.fencing.required)
+        machine.state == MachineState.PROVISIONING || (machine.state == MachineState.UP && machine.termSeen < machine.lease.requiredTerm)
 }
