--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -26,6 +26,7 @@
 import mintfield.core.constants.PeerConstants
 import mintfield.core.constants.StoreConstants
 import mintfield.core.constants.UserApiConstants
+import mintfield.core.jobs.AttemptState
 import mintfield.core.leadership.CancellationLog
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.leadership.CancellationWatermark
@@ -348,7 +349,7 @@
         val leaders = elections.leaders
         for (leader in leaders) {
             leader.scheduler.cluster.jobs[id]
-                ?.let { return Progress(it.doneTasks, leader.scheduler.runningCount(it)) }
+                ?.let { return Progress(it.doneTasks, it.count(AttemptState.RUNNING)) }
         }
         return if (leaders.isEmpty() || sharding != null) peers.progress(id) else null
     }
@@ -358,7 +359,7 @@
         val progress = LinkedHashMap<String, Progress>()
         for (leader in elections.leaders) {
             leader.scheduler.cluster.jobs.values
-                .forEach { progress[it.id] = Progress(it.doneTasks, leader.scheduler.runningCount(it)) }
+                .forEach { progress[it.id] = Progress(it.doneTasks, it.count(AttemptState.RUNNING)) }
         }
         return progress
     }
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -111,7 +111,7 @@
 
     private suspend fun carryOut(wanted: Commit) {
         val transaction = transaction(wanted)
-        scheduler.untaken(wanted.writes.drop(transaction.taken.size), loop.nowMs())
+        scheduler.deferred(wanted.writes.drop(transaction.taken.size), loop.nowMs())
         writes.take(transaction.puts.size.toDouble())
         val sentAt = loop.nowMs()
         val result = outcome(store.txn(transaction.preconditions, transaction.puts, urgent = true), transaction)
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -58,19 +58,19 @@
         replicator.live.values
             .filter { mine(it.spec) }
             .forEach { scheduler.jobChanged(it, now) }
-        intents.forEach { scheduler.replayIntent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
+        intents.forEach { scheduler.replay.intent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
         for (r in rounds) {
             var keep = false
             val record =
                 Records.parseRound(r.data) { job ->
                     keep = true
                     Log.error("${r.key}: what the round of revision ${r.revision} records of ${job ?: "some job"} cannot be read; it is kept")
-                    if (job == null) scheduler.replayUnreadableRound(now) else scheduler.replayUnreadableJob(job)
+                    if (job == null) scheduler.replay.unreadableRound(now) else scheduler.replay.unreadableJob(job)
                 }
-            scheduler.replayRound(r.key.removePrefix(keys.rounds), record, r.revision, now, keep)
+            scheduler.replay.round(r.key.removePrefix(keys.rounds), record, r.revision, now, keep)
         }
-        learnedState.forEach { scheduler.restore(it) }
-        scheduler.replayDone(now)
+        learnedState.forEach { scheduler.replay.restore(it) }
+        scheduler.replay.complete(now)
         Log.info(
             "replayed ${scheduler.cluster.jobs.size} jobs, ${rounds.size} rounds, ${intents.size} intents, " +
                 "${scheduler.cluster.machines.size} machines in ${loop.nowMs() - startMs} ms",
@@ -85,7 +85,7 @@
         if (loop.nowMs() - loop.startedAtMs > LeadershipConstants.WARMED_UP_MS) return
         val from = loop.nowMs()
         delay(LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS)
-        while (scheduler.renewing(loop.nowMs()) &&
+        while (scheduler.receivesFirstHeartbeats(loop.nowMs()) &&
             loop.nowMs() - from < LeadershipConstants.MAX_REPLAY_DELAY_MS
         ) {
             delay(LeadershipConstants.REPLAY_DELAY_CHECK_MS)
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -156,6 +156,12 @@
         a.moveTo(AttemptState.STOPPING, nowMs)
     }
 
+    /** Stops all tasks of the cancelled [job]; one line of the log tells of all of them elsewhere. */
+    fun stopAll(
+        job: Job,
+        nowMs: Long,
+    ) = job.activeAttempts.toList().forEach { stop(it, nowMs, "cancelled", quietly = true) }
+
     fun markDone(
         job: Job,
         index: Int,
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/HeartbeatService.kt
@@ -0,0 +1,119 @@
+package mintfield.core
+
+import mintfield.core.constants.LeadershipConstants
+import mintfield.core.fleet.FleetManager
+import mintfield.core.fleet.Machine
+import mintfield.core.fleet.MachineState
+import mintfield.core.fleet.ZoneFencing
+import mintfield.core.jobs.HeartbeatReconciler
+import mintfield.core.leadership.LeaseRenewalLimit
+import mintfield.core.model.Heartbeat
+import mintfield.core.model.TaskState
+import mintfield.core.model.WorkerCommand
+
+/**
+ * Decides how a worker's heartbeat is answered: whether this leader may answer it at all (ownership, fencing token, zone fence,
+ * lease renewal limit), and with which commands.
+ */
+internal class HeartbeatService(
+    private val cluster: Cluster,
+    private val fleet: FleetManager,
+    private val zoneFencing: ZoneFencing,
+    private val reconciler: HeartbeatReconciler,
+    private val cancellations: KnownCancellations,
+    private val replay: LeaderReplay,
+) {
+    private val ownership = cluster.ownership
+    private val leaseRenewalLimit = LeaseRenewalLimit(cluster.settings)
+
+    /** Machines whose leases were renewed before the replay, and when the latest of them came for the first time. */
+    private val renewedDuringReplay = HashSet<String>()
+    private var lastFirstHeartbeatAtMs = Machine.NEVER
+
+    /** Whether workers have recently sent their first heartbeat since the election. Their leases must not expire because of the replay. */
+    fun receivesFirstHeartbeats(nowMs: Long): Boolean = nowMs - lastFirstHeartbeatAtMs < LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS
+
+    /**
+     * Takes [heartbeat] in and answers it. With [mayAct] false the leader's lease may have expired: the answer then renews the
+     * worker's lease, if that is safe, but starts nothing. All cancellations that users were told of before [cancellationsToMs]
+     * are known here.
+     */
+    fun answer(
+        heartbeat: Heartbeat,
+        mayAct: Boolean,
+        nowMs: Long,
+        relayed: Boolean,
+        viaRelayPeer: Boolean,
+        cancellationsToMs: Long,
+    ): HeartbeatResponse {
+        if (!ownership.owns(heartbeat.machine)) return HeartbeatResponse.NotOwner
+        if (heartbeat.termSeen > token(heartbeat)) return HeartbeatResponse.Deposed
+        if (!zoneFencing.mayAnswer(heartbeat.machine)) return HeartbeatResponse.ZoneFenced
+        val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
+        if (!replay.isComplete) return answerDuringReplay(heartbeat, mayRenew, nowMs)
+        val machine = knownMachine(heartbeat, nowMs) ?: return if (mayRenew) stopsOnly(heartbeat) else HeartbeatResponse.RenewalRefused
+        machine.relayed = relayed
+        machine.viaRelayPeer = viaRelayPeer
+        recordBootTime(machine, heartbeat, nowMs)
+        return answer(machine, heartbeat, mayAct, mayRenew, nowMs)
+    }
+
+    private fun answerDuringReplay(
+        heartbeat: Heartbeat,
+        mayRenew: Boolean,
+        nowMs: Long,
+    ): HeartbeatResponse {
+        if (!mayRenew) return HeartbeatResponse.RenewalRefused
+        knownMachine(heartbeat, nowMs)?.leaseRenewedAtMs = nowMs
+        if (renewedDuringReplay.add(heartbeat.machine)) lastFirstHeartbeatAtMs = nowMs
+        return stopsOnly(heartbeat)
+    }
+
+    private fun answer(
+        machine: Machine,
+        heartbeat: Heartbeat,
+        mayAct: Boolean,
+        mayRenew: Boolean,
+        nowMs: Long,
+    ): HeartbeatResponse {
+        val isNewest = reconciler.take(machine, heartbeat, viaHeartbeat = true, nowMs)
+        if (!mayRenew || (!mayAct && reconciler.mayStartCancelled(machine, heartbeat))) return HeartbeatResponse.RenewalRefused
+        machine.leaseRenewedAtMs = nowMs
+        if (!isNewest || !mayAct) return stopsOnly(heartbeat)
+        return HeartbeatResponse.Commands(token(heartbeat), reconciler.commands(machine, viaHeartbeat = true, nowMs))
+    }
+
+    /**
+     * An answer that renews the lease and stops only tasks of cancelled jobs. A cancellation is final, so such a stop is correct
+     * whoever leads and whenever it arrives: a leader whose lease has expired may send it as well.
+     */
+    private fun stopsOnly(heartbeat: Heartbeat): HeartbeatResponse =
+        HeartbeatResponse.Commands(
+            token(heartbeat),
+            heartbeat.tasks
+                .filter { it.state != TaskState.ENDED && cancellations.isKnown(it.task.job) }
+                .map { WorkerCommand.Stop(it.task, it.attempt, 0.0) },
+        )
+
+    /** The fencing token of answers to [heartbeat]: the leader's term, or the machine's ownership epoch if that is higher. */
+    private fun token(heartbeat: Heartbeat): Long = maxOf(cluster.term, ownership.epoch(heartbeat.machine))
+
+    private fun knownMachine(
+        heartbeat: Heartbeat,
+        nowMs: Long,
+    ): Machine? {
+        val machine = fleet.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        if (machine == null || !machine.provisional) return machine
+        return fleet.redescribe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+    }
+
+    private fun recordBootTime(
+        machine: Machine,
+        heartbeat: Heartbeat,
+        nowMs: Long,
+    ) {
+        val isFirstHeartbeat = heartbeat.incarnation == 1L && heartbeat.termSeen == 0L
+        if (machine.state != MachineState.PROVISIONING || !isFirstHeartbeat) return
+        fleet.bootTimes.cameUp(machine, nowMs - machine.firstSeenAtMs, nowMs)
+    }
+}
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
@@ -132,7 +132,7 @@
             if (observed?.state == TaskState.ENDED) {
                 ended.getOrPut(query.machine) { HashMap() }[ref.task] = Ended(ref.task, ref.attempt, observed.cause == ExitReason.DONE)
             }
-            scheduler.heartbeats.statusFromOwner(attempt, observed, nowMs)
+            scheduler.reconciler.statusFromOwner(attempt, observed, nowMs)
         }
         val m = scheduler.cluster.machines[query.machine]
         if (m != null && m.state == MachineState.OWNED_ELSEWHERE && m.attempts.isEmpty()) scheduler.cluster.machines.remove(m.id)
