--- /dev/null
+++ b/src/main/kotlin/mintfield/app/ControllerMonitor.kt
@@ -0,0 +1,53 @@
+package mintfield.app
+
+import kotlinx.coroutines.delay
+import mintfield.app.election.LeaderElections
+import mintfield.app.heartbeat.HeartbeatEndpoint
+import mintfield.core.constants.PeerConstants
+import mintfield.io.loop.EventLoop
+import mintfield.io.loop.Log
+
+/** Logs what operators need to see of any controller: pauses of its process, whether workers are sent to a peer, and request times. */
+class ControllerMonitor(
+    private val loop: EventLoop,
+    private val elections: LeaderElections,
+    private val heartbeats: HeartbeatEndpoint,
+    private val metrics: Metrics,
+) {
+    private var relayPeer: String? = null
+    private var nextSummaryAtMs = 0L
+
+    /** Watches about once a second, until cancelled. */
+    suspend fun run() {
+        nextSummaryAtMs = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
+        while (true) {
+            val startedAtMs = loop.nowMs()
+            delay(PeerConstants.HEALTH_CHECK_MS)
+            logPause(loop.nowMs() - startedAtMs - PeerConstants.HEALTH_CHECK_MS)
+            logRelayPeer()
+            logSummary()
+        }
+    }
+
+    private fun logPause(lostMs: Long) {
+        if (lostMs > PeerConstants.PAUSE_LOG_THRESHOLD_MS) Log.info("this controller was paused for $lostMs ms")
+    }
+
+    private fun logRelayPeer() {
+        val current = if (elections.leaders.isNotEmpty()) heartbeats.relayPeer() else null
+        if (current == relayPeer) return
+        relayPeer = current
+        if (current != null) {
+            Log.info("the controller after this one: zone unresponsive, workers report to $current")
+        } else {
+            Log.info("workers may send heartbeats here again")
+        }
+    }
+
+    private fun logSummary() {
+        if (loop.nowMs() < nextSummaryAtMs) return
+        nextSummaryAtMs = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
+        val summary = metrics.takeSummary()
+        if (summary.isNotEmpty()) Log.info(summary)
+    }
+}
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -39,6 +39,9 @@
         members.firstOrNull { (it.shard?.name ?: ONLY) == shard }?.peerLeads(member, term)
     }
 
+    /** Writes of users wait for the state service: the leaders here leave them room for a while. */
+    fun yieldToUsers() = leaders.forEach { it.yieldToUsers() }
+
     companion object {
         /** Stands for the share where there is only one leadership. */
         const val ONLY = ""
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -4,7 +4,8 @@
 import mintfield.app.election.LeaderElection
 import mintfield.app.election.LeaderElections
 import mintfield.app.leader.Leader
-import mintfield.app.peer.PeerLink
+import mintfield.app.peer.PeerHealth
+import mintfield.app.peer.PeerRelay
 import mintfield.core.HeartbeatResponse
 import mintfield.core.Timings
 import mintfield.core.constants.PeerConstants
@@ -21,7 +22,8 @@
 class HeartbeatEndpoint(
     private val loop: EventLoop,
     private val settings: Settings,
-    private val peers: PeerLink,
+    private val health: PeerHealth,
+    private val relay: PeerRelay,
     private val elections: LeaderElections,
 ) {
     private val probe = IsolatedLeaderProbe(Timings(settings).redirectIntervalMs)
@@ -33,7 +35,7 @@
     suspend fun receive(body: ByteArray): Response {
         val member = elections.forHeartbeat(body) ?: return Response(421, Json.obj { })
         val leader = member.leader ?: return relayToLeader(member, body)
-        if (peers.isolation.redirectsWorkers(leader.leaseLeftMs(), loop.nowMs())) {
+        if (health.isolation.redirectsWorkers(leader.leaseLeftMs(), loop.nowMs())) {
             val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
             if (probe.shouldRedirect(heartbeat.machine, loop.nowMs())) return Response(421, Json.obj { })
         }
@@ -41,7 +43,7 @@
     }
 
     /** Where workers are to report while the controller that they would try after this one is silent. */
-    fun relayPeer(): String? = relaySelector.place(peers::isUnreachable, peers::isReachable)
+    fun relayPeer(): String? = relaySelector.place(health::isUnreachable, health::isReachable)
 
     private suspend fun answer(
         leader: Leader,
@@ -85,9 +87,9 @@
         body: ByteArray,
     ): Response {
         val leader = member.known?.takeIf { it != settings.member } ?: return Response(421, Json.obj { })
-        if (peers.isRelayCongested(leader)) return Response(421, Json.obj { writeStringField("steward", leader) })
+        if (relay.isCongested(leader)) return Response(421, Json.obj { writeStringField("steward", leader) })
         val sentAt = loop.nowMs()
-        val answer = peers.relay(leader, body) ?: return afterLeaderSilence(member, leader, body, sentAt)
+        val answer = relay.heartbeat(leader, body) ?: return afterLeaderSilence(member, leader, body, sentAt)
         return if (answer.status == 421) Response(421, Json.obj { writeStringField("steward", leader) }) else Response(answer.status, answer.body)
     }
 
@@ -101,12 +103,12 @@
         body: ByteArray,
         sentAtMs: Long,
     ): Response {
-        val alone = settings.peers.none { it.member != leader && !peers.isUnreachable(it.member) }
+        val alone = settings.peers.none { it.member != leader && !health.isUnreachable(it.member) }
         while (alone && loop.nowMs() - sentAtMs < PeerConstants.HELD_HEARTBEAT_TIMEOUT_MS) {
             member.leader?.let { return answer(it, body) }
             val known = member.known
             if (known != null && known != leader && known != settings.member) {
-                return peers.relay(known, body)?.takeIf { it.status != 421 }?.let { Response(it.status, it.body) } ?: break
+                return relay.heartbeat(known, body)?.takeIf { it.status != 421 }?.let { Response(it.status, it.body) } ?: break
             }
             delay(PeerConstants.HELD_HEARTBEAT_CHECK_MS)
         }
@@ -119,7 +121,7 @@
         body: ByteArray,
     ): Response {
         val heartbeat = reader.heartbeat(body) ?: return Response.error(400, "not a report")
-        val to = peerRedirects.offer(heartbeat.machine, peers.reachablePeerExcept(leader), loop.nowMs())
+        val to = peerRedirects.offer(heartbeat.machine, health.reachablePeerExcept(leader), loop.nowMs())
         return Response(421, Json.obj { to?.let { writeStringField("steward", it) } })
     }
 
--- a/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -3,32 +3,9 @@
 import mintfield.app.api.Progress
 import mintfield.core.constants.PeerConstants
 import mintfield.io.peer.JobProgress
+import mintfield.io.peer.PeerStatus
 
-/**
- * Which jobs' progress the next note tells. A note has room for so many; if there are more, each note goes on where the one before
- * ended, so that every job is told of in turn.
- */
-class ProgressPager(
-    private val perNote: Int = PeerConstants.PROGRESS_PER_STATUS,
-) {
-    private var position = 0
-
-    /** The part of [progress] for the next note. */
-    fun next(progress: Map<String, Progress>): List<JobProgress> {
-        if (position >= progress.size || progress.size <= perNote) position = 0
-        val page =
-            progress.entries
-                .asSequence()
-                .drop(position)
-                .take(perNote)
-                .map { (id, it) -> JobProgress(id, it.done, it.running) }
-                .toList()
-        position += page.size
-        return page
-    }
-}
-
-/** What the notes of one leading peer have told of the progress of its jobs. */
+/** The progress of the jobs of one leading peer, from its status messages. */
 class PeerProgress {
     private class Observed(
         val progress: Progress,
@@ -37,7 +14,7 @@
 
     private var jobs = LinkedHashMap<String, Observed>()
 
-    /** Takes in the [page] of a note of a leader that has [total] jobs. */
+    /** Takes in the [page] of a status message; the peer has [total] jobs in all. */
     fun take(
         page: List<JobProgress>,
         total: Int,
@@ -52,5 +29,19 @@
         while (oldest.hasNext() && nowMs - oldest.next().atMs > PeerConstants.PROGRESS_TIMEOUT_MS) oldest.remove()
     }
 
+    /** The latest progress of job [id]; null if the peer has not told of it recently. */
     operator fun get(id: String): Progress? = jobs[id]?.progress
 }
+
+/** The progress of the jobs of all leading peers. */
+class PeerProgressTable(
+    private val nowMs: () -> Long,
+) {
+    private val byPeer = HashMap<String, PeerProgress>()
+
+    /** Takes in the [status] of a leading peer. */
+    fun received(status: PeerStatus) = byPeer.getOrPut(status.member) { PeerProgress() }.take(status.progress, status.jobs, nowMs())
+
+    /** The latest progress of job [id] at any peer; null if none has told of it recently. */
+    operator fun get(id: String): Progress? = byPeer.values.firstNotNullOfOrNull { it[id] }
+}
--- /dev/null
+++ b/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
@@ -0,0 +1,30 @@
+package mintfield.app.sharding
+
+import kotlinx.coroutines.delay
+import mintfield.app.election.LeaderElection
+import mintfield.app.election.LeaderElections
+import mintfield.core.constants.PeerConstants
+import mintfield.core.ownership.ShardSuccession
+import mintfield.io.loop.EventLoop
+
+/** Transfers shards that another controller should lead: their home, or any other if this controller is drained. */
+class ShardTransfers(
+    private val loop: EventLoop,
+    private val elections: LeaderElections,
+    private val succession: ShardSuccession,
+) {
+    /** Checks about once a second, until cancelled. */
+    suspend fun run() {
+        while (true) {
+            delay(PeerConstants.HEALTH_CHECK_MS)
+            for (member in elections.members) transferIfDue(member)
+        }
+    }
+
+    private suspend fun transferIfDue(member: LeaderElection) {
+        val shard = member.shard ?: return
+        if (member.leader == null) return
+        val reason = succession.reasonToTransfer(shard, loop.nowMs()) ?: return
+        member.transferLeadership(reason)
+    }
+}
