--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -4,10 +4,13 @@
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.cancel
+import kotlinx.coroutines.currentCoroutineContext
 import kotlinx.coroutines.delay
+import kotlinx.coroutines.ensureActive
 import kotlinx.coroutines.plus
 import mintfield.app.ExternalServices
 import mintfield.app.leader.Leader
+import mintfield.app.leader.LeaderTenure
 import mintfield.app.replica.JobReplicator
 import mintfield.app.sharding.ShardElection
 import mintfield.core.constants.LeadershipConstants
@@ -27,20 +30,24 @@
 import mintfield.io.store.Precondition
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
-import kotlin.coroutines.coroutineContext
 import kotlin.random.Random
 
-/** This process's part in the leadership: it seeks a leader, follows it, and stands when there is none. */
+/**
+ * This process's part in the election of one leader: it looks for the leader key, watches it while another leads, and campaigns when
+ * there is none. The key hangs on a store lease, so that it disappears when its owner no longer renews it; its revision is the term.
+ */
 class LeaderElection(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val services: ExternalServices,
     private val replicator: JobReplicator,
     private val cancellationWatermark: CancellationWatermark,
-    /** The share that is to be led, if machines are shared. */
+    /** What the election of a shard's leader needs besides; null if machines are not shared. */
     private val part: ShardElection? = null,
+    /** Tells the peers of a won election. */
     private val announce: () -> Unit,
 ) {
+    /** The shard whose leader is elected; null if there is one leader of all machines. */
     val shard: ShardSettings? = part?.shard
     private val keys = LeaderKeys(shard?.name)
     private val store = services.store
@@ -50,22 +57,25 @@
 
     /** Tells this process from an earlier one of the same member. */
     private val nonce = java.lang.Long.toHexString(random.nextLong())
-    val leaderRole = LeaderRole { Log.info(if (shard == null) it else "${shard.name}: $it") }
+    private val leaderRole = LeaderRole { Log.info(if (shard == null) it else "${shard.name}: $it") }
+
+    /** The leader that runs in this process; null while it does not lead. */
     var leader: Leader? = null
         private set
 
-    /** Who claimed to lead while the store could not be asked. */
+    /** The peer that said it leads while the state service could not be asked. */
     private var claimedLeader: String? = null
 
-    /** Whom workers should go to, as far as is known. */
+    /** The member that leads, as far as is known here; null if none is known. */
     val known: String? get() = if (leaderRole.role == Role.SEEKING) claimedLeader else leaderRole.leader
 
+    /** Takes part in the election until cancelled. A step that fails is tried again. */
     suspend fun run() {
         while (true) {
             try {
                 step()
             } catch (e: IllegalStateException) {
-                coroutineContext[Job]?.let { if (!it.isActive) throw e }
+                currentCoroutineContext().ensureActive()
                 Log.error("leadership: ${e.message}")
                 delay(StoreConstants.STORE_RETRY_MS)
             }
@@ -81,136 +91,141 @@
     }
 
     private suspend fun discoverLeader() {
-        when (val r = store.get(keys.leader, urgent = true)) {
-            is StoreResult.Ok -> {
-                val entry = r.value
-                when {
-                    entry == null -> leaderRole.moveTo(Role.CANDIDATE, null)
-                    entry.data["member"] == memberName && leader == null -> endStaleLease(entry)
-                    else -> follow(entry)
-                }
-            }
-
-            else -> delay(StoreConstants.STORE_RETRY_MS * 2)
+        val result = store.get(keys.leader, urgent = true)
+        if (result !is StoreResult.Ok) return delay(StoreConstants.STORE_RETRY_MS * 2)
+        val entry = result.value
+        when {
+            entry == null -> leaderRole.moveTo(Role.CANDIDATE, null)
+            memberOf(entry.data) == memberName && leader == null -> endStaleLease(entry)
+            else -> follow(entry)
         }
     }
 
-    /** A key of our own that we do not hold is from an earlier process, which is gone: its lease may end now. */
+    /** An own key that this process does not hold is from an earlier one, which is gone: its lease may end now. */
     private suspend fun endStaleLease(entry: Entry) {
         Log.info("ending the lease of an earlier process of $memberName, term ${entry.revision}")
         entry.lease?.let { store.endLease(it) }
         leaderRole.moveTo(Role.SEEKING, null)
     }
 
+    /** Watches the leader key until it is gone, or the state service cannot tell. */
     private suspend fun follow(entry: Entry) {
-        leaderRole.moveTo(Role.FOLLOWING, entry.data["member"] as? String)
+        leaderRole.moveTo(Role.FOLLOWING, memberOf(entry.data))
         var after = entry.revision
         while (true) {
-            when (val r = store.watch(keys.leader, after, LeadershipConstants.LEADER_WATCH_MS, urgent = true)) {
-                is StoreResult.Ok -> {
-                    if (r.value.tooOld) return
-                    val last = r.value.newest()
-                    after = maxOf(after, r.value.revision)
-                    if (last != null && last.data == null) return leaderRole.moveTo(Role.CANDIDATE, null)
-                    if (last != null) leaderRole.moveTo(Role.FOLLOWING, last.data?.get("member") as? String)
-                }
-
-                else -> return delay(StoreConstants.STORE_RETRY_MS * 2)
-            }
+            val result = store.watch(keys.leader, after, LeadershipConstants.LEADER_WATCH_MS, urgent = true)
+            if (result !is StoreResult.Ok) return delay(StoreConstants.STORE_RETRY_MS * 2)
+            val changes = result.value
+            if (changes.tooOld) return
+            after = maxOf(after, changes.revision)
+            val newest = changes.newest() ?: continue
+            val data = newest.data ?: return leaderRole.moveTo(Role.CANDIDATE, null)
+            leaderRole.moveTo(Role.FOLLOWING, memberOf(data))
         }
     }
 
+    private fun memberOf(leaderValue: Map<String, Any?>): String? = leaderValue["member"] as? String
+
     private suspend fun campaign() {
         delay(random.nextLong(LeadershipConstants.ELECTION_JITTER_MS))
         if (part != null) {
-            // The controller that should lead a share goes first, if it is up.
+            // The controller that should lead the shard goes first, if it is up.
             delay(part.campaignDelayMs())
-            if (!part.activation.ready()) {
-                delay(ShardingConstants.ACTIVATION_RETRY_MS)
-                return leaderRole.moveTo(Role.SEEKING, null)
-            }
+            if (!part.activation.ready()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
         }
-        val sentAt = loop.nowMs()
-        val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value
-        if (lease == null) {
-            delay(StoreConstants.STORE_RETRY_MS)
-            return leaderRole.moveTo(Role.SEEKING, null)
+        val sentAtMs = loop.nowMs()
+        val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value ?: return seekAgainAfter(StoreConstants.STORE_RETRY_MS)
+        when (val claim = claimLeaderKey(lease)) {
+            is Claim.Won -> lead(LeaderTenure(claim.term, lease, nonce, memberName, LeaseClock(leaseMs, sentAtMs)))
+            Claim.Lost -> {
+                store.endLease(lease)
+                leaderRole.moveTo(Role.SEEKING, null)
+            }
         }
-        val put = KeyWrite.Put(keys.leader, Leader.leaderValue(memberName, nonce), lease)
-        val r = store.txn(listOfNotNull(Precondition(keys.leader, 0), part?.activation?.precondition), listOf(put), urgent = true)
-        if (r is StoreResult.Ok && part != null) part.activation.checkGuard(r.value)
-        val term =
-            when {
-                r is StoreResult.Ok && r.value is TxnOutcome.Applied -> r.value.revision
-                r is StoreResult.Unknown -> termOf(lease)
-                else -> null
+    }
+
+    private suspend fun seekAgainAfter(delayMs: Long) {
+        delay(delayMs)
+        leaderRole.moveTo(Role.SEEKING, null)
+    }
+
+    private sealed interface Claim {
+        class Won(
+            val term: Long,
+        ) : Claim
+
+        data object Lost : Claim
+    }
+
+    /** Puts the leader key on [lease], unless another member holds it. */
+    private suspend fun claimLeaderKey(lease: Long): Claim {
+        val put = KeyWrite.Put(keys.leader, LeaderTenure.leaderValue(memberName, nonce), lease)
+        val preconditions = listOfNotNull(Precondition(keys.leader, 0), part?.activation?.precondition)
+        return when (val result = store.txn(preconditions, listOf(put), urgent = true)) {
+            is StoreResult.Ok -> {
+                part?.activation?.checkGuard(result.value)
+                (result.value as? TxnOutcome.Applied)?.let { Claim.Won(it.revision) } ?: Claim.Lost
             }
-        if (term == null) {
-            store.endLease(lease)
-            return leaderRole.moveTo(Role.SEEKING, null)
+            is StoreResult.Refused -> Claim.Lost
+            is StoreResult.Unknown -> claimWithoutAnswer(lease)
         }
-        lead(term, lease, LeaseClock(leaseMs, sentAt))
     }
 
     /**
-     * After a try without an answer: the revision of our key, if it hangs on [lease]. A key of ours on another lease was put by an
-     * earlier try that was carried out late: nobody renews that one, so leading by it would go on after its end, beside the next
+     * After a claim without an answer: won if the key is ours and hangs on [lease]. A key of ours on another lease was put by an
+     * earlier claim that was carried out late. Nobody renews that lease, so leading by it would go on after its end, beside the next
      * leader.
      */
-    private suspend fun termOf(lease: Long): Long? {
-        val entry = (store.get(keys.leader, urgent = true) as? StoreResult.Ok)?.value
-        return entry?.takeIf { it.data["nonce"] == nonce && it.lease == lease }?.revision
+    private suspend fun claimWithoutAnswer(lease: Long): Claim {
+        val entry = (store.get(keys.leader, urgent = true) as? StoreResult.Ok)?.value ?: return Claim.Lost
+        return if (entry.data["nonce"] == nonce && entry.lease == lease) Claim.Won(entry.revision) else Claim.Lost
     }
 
-    private fun lead(
-        term: Long,
-        lease: Long,
-        clock: LeaseClock,
-    ) {
+    private fun lead(tenure: LeaderTenure) {
         leaderRole.moveTo(Role.LEADING, memberName)
-        Log.info("leading ${shard?.name ?: ""}".trim() + " with term $term")
-        val terms = scope + SupervisorJob(scope.coroutineContext[Job])
+        Log.info("leading ${shard?.name ?: ""}".trim() + " with term ${tenure.term}")
+        val leaderScope = scope + SupervisorJob(scope.coroutineContext[Job])
         val fresh =
-            Leader(loop, terms, services, replicator, nonce, lease, clock, term, cancellationWatermark, part?.leader()) { reason -> depose(terms, reason) }
+            Leader(loop, leaderScope, services, replicator, tenure, cancellationWatermark, part?.leader()) { reason -> depose(leaderScope, reason) }
         leader = fresh
         fresh.start()
         announce()
     }
 
-    /** Gives the lead to whoever stands first, without waiting for the lease to end. */
+    /** Gives the leadership up and ends its lease, so that another member is elected without waiting for the lease to expire. */
     suspend fun transferLeadership(reason: String) {
-        val mine = leader ?: return
-        mine.resign(reason)
-        // Only now: from here on the next one may lead at any moment.
-        mine.endLease()
+        val resigning = leader ?: return
+        resigning.resign(reason)
+        // Only now: from here on another member may lead at any moment.
+        resigning.endLease()
     }
 
     private fun depose(
-        terms: CoroutineScope,
+        leaderScope: CoroutineScope,
         reason: String,
     ) {
         if (leader == null) return
         Log.info("not leading any more: $reason")
-        leader?.let(replicator.listeners::remove)
+        leader?.let { replicator.listeners.remove(it.jobListener) }
         leader = null
         leaderRole.moveTo(Role.SEEKING, null)
-        terms.cancel()
+        leaderScope.cancel()
     }
 
     /**
-     * A peer says that it leads. With a higher term than ours it is right, and the workers that still come here must
-     * hear of it at once, not when the store can be reached again: until then their leases hang on us.
+     * [peer] says that it leads with [term]. If that is higher than the term of the leader here, this one is deposed at once: the
+     * workers that still send their heartbeats here must be told, also while the state service cannot be reached.
      */
     fun peerLeads(
         peer: String,
         term: Long,
     ) {
-        val mine = leader
-        if (mine != null && term > mine.scheduler.cluster.term) {
-            mine.resign("$peer leads with term $term")
+        val current = leader
+        if (current != null && term > current.scheduler.cluster.term) {
+            current.resign("$peer leads with term $term")
             claimedLeader = peer
             return
         }
-        if (mine == null && leaderRole.role == Role.SEEKING) claimedLeader = peer
+        if (current == null && leaderRole.role == Role.SEEKING) claimedLeader = peer
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -6,12 +6,13 @@
 import mintfield.core.DirectCall
 import mintfield.core.Scheduler
 import mintfield.core.constants.WorkerConstants
+import mintfield.io.http.HttpStatus
 import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 import mintfield.io.worker.WorkerCodec
 
-/** Sends commands to workers without waiting for their heartbeats, a bounded number at a time. */
+/** Sends commands to workers without waiting for their heartbeats. The number of calls under way is bounded. */
 class DirectCommandSender(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
@@ -20,17 +21,17 @@
     /** Told of each answer. */
     private val answered: () -> Unit,
 ) {
-    private var underWay = 0
+    private var callsUnderWay = 0
 
-    /** Sends what the scheduler wants sent now. */
-    fun send() {
-        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.bounds.directCalls - underWay)) {
-            underWay++
+    /** Sends what the scheduler wants sent now, each call in a coroutine of its own. */
+    fun sendDue() {
+        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.bounds.directCalls - callsUnderWay)) {
+            callsUnderWay++
             scope.launch {
                 try {
                     send(call)
                 } finally {
-                    underWay--
+                    callsUnderWay--
                 }
             }
         }
@@ -39,15 +40,20 @@
     private suspend fun send(call: DirectCall) {
         val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
         val body = WorkerCodec.commands(call.term, call.incarnation, call.commands)
-        when (val r = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
-            is Reply.Answer -> {
-                val heartbeat = if (r.status == 200 || r.status == 409) WorkerCodec.heartbeat(r.body) else null
-                if (r.status == 409) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
-                scheduler.directAnswered(call, heartbeat, loop.nowMs())
-                answered()
-            }
-
-            is Reply.None -> scheduler.directUnanswered(call, r.sent, loop.nowMs())
+        when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
+            is Reply.Answer -> take(reply, call)
+            is Reply.None -> scheduler.directUnanswered(call, reply.sent, loop.nowMs())
         }
     }
+
+    private fun take(
+        answer: Reply.Answer,
+        call: DirectCall,
+    ) {
+        val isRefused = answer.status == HttpStatus.CONFLICT
+        val heartbeat = if (answer.status == HttpStatus.OK || isRefused) WorkerCodec.heartbeat(answer.body) else null
+        if (isRefused) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
+        scheduler.directAnswered(call, heartbeat, loop.nowMs())
+        answered()
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/mintfield/app/leader/LeaderJobListener.kt
@@ -0,0 +1,36 @@
+package mintfield.app.leader
+
+import mintfield.core.Scheduler
+import mintfield.core.jobs.JobListener
+import mintfield.core.model.AcceptedJob
+import mintfield.core.model.JobSpec
+import mintfield.io.loop.EventLoop
+
+/** Passes the changes of jobs in the replica on to the scheduler of a leader, and wakes its commits if there may be something to write. */
+class LeaderJobListener(
+    private val loop: EventLoop,
+    private val scheduler: Scheduler,
+    /** Whether the leader schedules a job. */
+    private val isScheduledHere: (JobSpec) -> Boolean,
+    private val wake: () -> Unit,
+) : JobListener {
+    override fun changed(job: AcceptedJob) {
+        if (!isScheduledHere(job.spec)) return
+        scheduler.jobChanged(job, loop.nowMs())
+        wake()
+    }
+
+    override fun removed(id: String) {
+        scheduler.jobRemoved(id, loop.nowMs())
+    }
+
+    override fun becameReady(id: String) {
+        scheduler.becameReady(id, loop.nowMs())
+        wake()
+    }
+
+    override fun dependencyCancelled(id: String) {
+        scheduler.dependencyCancelled(id)
+        wake()
+    }
+}
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -3,6 +3,7 @@
 import kotlinx.coroutines.delay
 import mintfield.app.ExternalServices
 import mintfield.app.replica.JobReplicator
+import mintfield.core.LearnedState
 import mintfield.core.Scheduler
 import mintfield.core.constants.FleetConstants
 import mintfield.core.constants.LeadershipConstants
@@ -17,7 +18,10 @@
 import mintfield.io.store.Records
 import mintfield.io.store.StoreResult
 
-/** What a new leader reads before it plans anything: the recorded outputs of the steps of all unfinished jobs. */
+/**
+ * Reads what earlier leaders have recorded and hands it to the scheduler of a new one: zone fences, machine types, jobs, scale-out
+ * intents, rounds and learned estimates, and the cloud's machine list. Requests that fail are repeated until they succeed.
+ */
 class Replay(
     private val loop: EventLoop,
     private val services: ExternalServices,
@@ -25,73 +29,80 @@
     private val scheduler: Scheduler,
     private val keys: LeaderKeys,
     /** Whether the leader schedules a job. */
-    private val mine: (JobSpec) -> Boolean,
+    private val isScheduledHere: (JobSpec) -> Boolean,
 ) {
     private val store = services.store
 
-    /** Rebuilds the picture: catalogue, jobs, intents, machines, recorded plans and done-sets; then work goes on. */
+    private class LeaderRecords(
+        val intents: List<Entry>,
+        /** In the order of their revisions. */
+        val rounds: List<Entry>,
+        val learnedState: List<LearnedState>,
+    )
+
+    /** Replays everything; then the scheduler may plan, and [listener] is told of further changes of jobs. */
     suspend fun run(listener: JobListener) {
-        val startMs = loop.nowMs()
-        // Nobody is renewed on a view of the jobs from before the election.
+        val startedAtMs = loop.nowMs()
+        // No lease is renewed on a view of the jobs from before the election.
+        readJobs()
+        // The fences of an earlier leader must hold before any heartbeat is answered.
+        replayZoneFences()
+        readTypes()
+        renewFirst()
+        readJobs()
+        val records = readLeaderRecords()
+        // Jobs may have been accepted or cancelled at other nodes meanwhile; from here on the listener is told of them.
+        readJobs()
+        replay(records, listener)
+        Log.info(
+            "replayed ${scheduler.cluster.jobs.size} jobs, ${records.rounds.size} rounds, ${records.intents.size} intents, " +
+                "${scheduler.cluster.machines.size} machines in ${loop.nowMs() - startedAtMs} ms",
+        )
+    }
+
+    private suspend fun readJobs() {
         while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
-        // Before anybody is answered: what an earlier leader gave its word on must hold.
-        for (e in readAll(keys.zoneFences)) {
-            val key = e.key.removePrefix(keys.zoneFences)
-            Records.parseZoneFence(key, e.data)?.let { scheduler.zoneFencing.replay(it) } ?: scheduler.zoneFencing.replayUnreadable(key)
+    }
+
+    private suspend fun replayZoneFences() {
+        val fencing = scheduler.zoneFencing
+        for (entry in readAll(keys.zoneFences)) {
+            val key = entry.key.removePrefix(keys.zoneFences)
+            Records.parseZoneFence(key, entry.data)?.let { fencing.replay(it) } ?: fencing.replayUnreadable(key)
         }
-        scheduler.zoneFencing.read = true
+        fencing.read = true
+    }
+
+    private suspend fun readTypes() {
         while (services.types.isEmpty()) {
             services.readTypes()
             if (services.types.isEmpty()) delay(FleetConstants.CLOUD_RETRY_MS)
         }
         scheduler.types(services.types.values.toList(), loop.nowMs())
-        renewFirst()
-        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
-        val intents = readAll(keys.intents)
-        val rounds = readAll(keys.rounds).sortedBy { it.revision }
-        readMachines()
-        val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
-        // Abort and accept of other nodes may have come meanwhile; from here on the listener tells them.
-        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
-        val now = loop.nowMs()
-        replicator.listeners.add(listener)
-        replicator.live.values
-            .filter { mine(it.spec) }
-            .forEach { scheduler.jobChanged(it, now) }
-        intents.forEach { scheduler.replay.intent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
-        for (r in rounds) {
-            var keep = false
-            val record =
-                Records.parseRound(r.data) { job ->
-                    keep = true
-                    Log.error("${r.key}: what the round of revision ${r.revision} records of ${job ?: "some job"} cannot be read; it is kept")
-                    if (job == null) scheduler.replay.unreadableRound(now) else scheduler.replay.unreadableJob(job)
-                }
-            scheduler.replay.round(r.key.removePrefix(keys.rounds), record, r.revision, now, keep)
-        }
-        learnedState.forEach { scheduler.replay.restore(it) }
-        scheduler.replay.complete(now)
-        Log.info(
-            "replayed ${scheduler.cluster.jobs.size} jobs, ${rounds.size} rounds, ${intents.size} intents, " +
-                "${scheduler.cluster.machines.size} machines in ${loop.nowMs() - startMs} ms",
-        )
     }
 
     /**
-     * Lets workers be renewed before the processor is taken for reading and replaying. Only just after the start is that needed:
-     * most code still runs interpreted then, and after an end of all controllers the leases are half used up.
+     * Leaves the processor to heartbeats before records are read and replayed, as long as workers send their first ones. That is needed
+     * only just after the start of the process: its code is still interpreted, and the leases are half used up if all controllers had
+     * ended.
      */
     private suspend fun renewFirst() {
         if (loop.nowMs() - loop.startedAtMs > LeadershipConstants.WARMED_UP_MS) return
-        val from = loop.nowMs()
+        val startedAtMs = loop.nowMs()
         delay(LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS)
-        while (scheduler.receivesFirstHeartbeats(loop.nowMs()) &&
-            loop.nowMs() - from < LeadershipConstants.MAX_REPLAY_DELAY_MS
-        ) {
+        while (scheduler.receivesFirstHeartbeats(loop.nowMs()) && loop.nowMs() - startedAtMs < LeadershipConstants.MAX_REPLAY_DELAY_MS) {
             delay(LeadershipConstants.REPLAY_DELAY_CHECK_MS)
         }
     }
 
+    private suspend fun readLeaderRecords(): LeaderRecords {
+        val intents = readAll(keys.intents)
+        val rounds = readAll(keys.rounds).sortedBy { it.revision }
+        readMachines()
+        val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
+        return LeaderRecords(intents, rounds, learnedState)
+    }
+
     private suspend fun readAll(prefix: String): List<Entry> {
         val found = ArrayList<Entry>()
         while (true) {
@@ -105,14 +116,42 @@
         }
     }
 
-    /** One reading of the machine list for all replayed jobs; without it, reports must tell the machines. */
+    /** Reads the cloud's machine list once for all replayed jobs; if that fails, heartbeats have to tell of the machines. */
     private suspend fun readMachines() {
         var after: String? = null
-        while (true) {
-            val page = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
-            scheduler.listed(page.first, page.second, loop.nowMs())
-            if (!page.second) return
-            after = page.first.lastOrNull()?.id ?: return
-        }
+        do {
+            val (page, hasNext) = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
+            scheduler.listed(page, hasNext, loop.nowMs())
+            after = page.lastOrNull()?.id
+        } while (hasNext && after != null)
+    }
+
+    private fun replay(
+        records: LeaderRecords,
+        listener: JobListener,
+    ) {
+        val nowMs = loop.nowMs()
+        replicator.listeners.add(listener)
+        val jobs = replicator.live.values.filter { isScheduledHere(it.spec) }
+        jobs.forEach { scheduler.jobChanged(it, nowMs) }
+        records.intents.forEach { scheduler.replay.intent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
+        records.rounds.forEach { replayRound(it, nowMs) }
+        records.learnedState.forEach { scheduler.replay.restore(it) }
+        scheduler.replay.complete(nowMs)
+    }
+
+    /** A record that can be read in part only is replayed as far as that goes, and kept. */
+    private fun replayRound(
+        entry: Entry,
+        nowMs: Long,
+    ) {
+        var keep = false
+        val record =
+            Records.parseRound(entry.data) { job ->
+                keep = true
+                Log.error("${entry.key}: what the round of revision ${entry.revision} records of ${job ?: "some job"} cannot be read; it is kept")
+                if (job == null) scheduler.replay.unreadableRound(nowMs) else scheduler.replay.unreadableJob(job)
+            }
+        scheduler.replay.round(entry.key.removePrefix(keys.rounds), record, entry.revision, nowMs, keep)
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
+++ b/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
@@ -1,5 +1,6 @@
 package mintfield.app.leader
 
+import mintfield.core.LearnedState
 import mintfield.core.Write
 import mintfield.core.constants.PlacementConstants
 import mintfield.core.model.FinalState
@@ -11,47 +12,38 @@
 import mintfield.io.store.Precondition
 import mintfield.io.store.Records
 
-/** How the leader's writes look in the store, and what guards them besides the leader key. */
+/** Translates the scheduler's writes to keys and values of the state service. */
 class WriteEncoder(
     private val keys: LeaderKeys,
     private val limits: StateLimitsInForce,
-    private val lease: Long,
-    private val leaderKey: () -> ByteArray,
+    private val tenure: LeaderTenure,
 ) {
-    fun preconditionsOf(w: Write): List<Precondition> = w.guardedJobs.map { Precondition(Keys.live(it.id), it.revision) }
+    /** The preconditions of [write] besides that on the leader key. */
+    fun preconditionsOf(write: Write): List<Precondition> = write.guardedJobs.map { Precondition(Keys.live(it.id), it.revision) }
 
-    fun keyWrites(w: Write): List<KeyWrite> =
-        when (w) {
-            is Write.RecordRound -> listOf(KeyWrite.Put(keys.round(w.key), Records.round(w.record)))
-            is Write.DeleteRound -> listOf(KeyWrite.Delete(keys.round(w.key)))
-            is Write.FinishJob ->
-                listOf(
-                    KeyWrite.Put(Keys.final(w.job.spec.id), Records.final(FinalState(JobPhase.DONE, w.job.spec.tasks, System.currentTimeMillis()))),
-                    KeyWrite.Delete(Keys.live(w.job.spec.id)),
-                )
-            is Write.CancelSuccessor ->
-                listOf(
-                    KeyWrite.Put(Keys.final(w.job.spec.id), Records.final(FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis()))),
-                    KeyWrite.Delete(Keys.live(w.job.spec.id)),
-                )
-            is Write.DeleteJobRecord -> listOf(KeyWrite.Delete(Keys.live(w.job.spec.id)))
-            is Write.WriteIntent -> listOf(KeyWrite.Put(keys.intent(w.intent.idempotencyKey), Records.intent(w.intent)))
-            is Write.SaveLearnedState ->
-                listOf(
-                    KeyWrite.Put(
-                        keys.learnedState(w.block),
-                        Records.learnedState(
-                            w.learnedState,
-                            (
-                                limits.current.valueBytes *
-                                    PlacementConstants.MAX_VALUE_FILL
-                            ).toInt(),
-                        ),
-                    ),
-                )
-            is Write.FenceZone -> listOf(KeyWrite.Put(keys.zoneFences + w.record.key, Records.zoneFences(w.record)))
-            is Write.LiftZoneFence -> listOf(KeyWrite.Delete(keys.zoneFences + w.key))
-            is Write.DeleteIntent -> listOf(KeyWrite.Delete(keys.intent(w.idempotencyKey)))
-            Write.RaiseTerm -> listOf(KeyWrite.Put(keys.leader, leaderKey(), lease))
+    /** The keys that [write] puts and deletes. */
+    fun keyWrites(write: Write): List<KeyWrite> =
+        when (write) {
+            is Write.RecordRound -> listOf(KeyWrite.Put(keys.round(write.key), Records.round(write.record)))
+            is Write.DeleteRound -> listOf(KeyWrite.Delete(keys.round(write.key)))
+            is Write.FinishJob -> end(write.job.spec.id, FinalState(JobPhase.DONE, write.job.spec.tasks, System.currentTimeMillis()))
+            is Write.CancelSuccessor -> end(write.job.spec.id, FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis()))
+            is Write.DeleteJobRecord -> listOf(KeyWrite.Delete(Keys.live(write.job.spec.id)))
+            is Write.WriteIntent -> listOf(KeyWrite.Put(keys.intent(write.intent.idempotencyKey), Records.intent(write.intent)))
+            is Write.SaveLearnedState -> listOf(KeyWrite.Put(keys.learnedState(write.block), encode(write.learnedState)))
+            is Write.FenceZone -> listOf(KeyWrite.Put(keys.zoneFences + write.record.key, Records.zoneFences(write.record)))
+            is Write.LiftZoneFence -> listOf(KeyWrite.Delete(keys.zoneFences + write.key))
+            is Write.DeleteIntent -> listOf(KeyWrite.Delete(keys.intent(write.idempotencyKey)))
+            Write.RaiseTerm -> listOf(KeyWrite.Put(keys.leader, tenure.keyValue(), tenure.lease))
         }
+
+    private fun end(
+        job: String,
+        state: FinalState,
+    ): List<KeyWrite> = listOf(KeyWrite.Put(Keys.final(job), Records.final(state)), KeyWrite.Delete(Keys.live(job)))
+
+    private fun encode(learnedState: LearnedState): ByteArray {
+        val maxBytes = limits.current.valueBytes * PlacementConstants.MAX_VALUE_FILL
+        return Records.learnedState(learnedState, maxBytes.toInt())
+    }
 }
