--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -8,7 +8,6 @@
 import mintfield.core.jobs.AttemptState
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.RunTimes
-import mintfield.core.model.JobSpec
 import mintfield.core.model.MachineType
 import mintfield.core.model.Settings
 import mintfield.core.model.StateLimits
@@ -17,43 +16,42 @@
 import mintfield.core.ownership.Ownership
 import mintfield.core.ownership.WholeFleet
 
-/** What the leader knows: unfinished jobs, machines, and what occupies what. */
+/** The state of the leader's core: unfinished jobs, machines, and which attempt of which task occupies which machine. */
 class Cluster(
     val settings: Settings,
-    /** Term at the election; later ones of the same leader are higher. */
+    /** The term at the election; later ones of the same leader are higher. */
     val firstTerm: Long,
     val ownership: Ownership = WholeFleet,
-    /** What the store permits now. */
+    /** What the state service permits now. */
     private val stateLimits: StateLimitsInForce = StateLimitsInForce(settings),
     private val log: (String) -> Unit,
 ) {
-    class Usage {
-        var cpus = 0.0
-        var gpus = 0.0
-    }
-
     val limits: StateLimits get() = stateLimits.current
     val timings = Timings(settings)
     val bounds = ConnectionLimits(settings)
+    val quotas = TeamQuotas(settings)
+
+    /** The leader's term, which is the revision of the leader key. */
     var term = firstTerm
+        private set
     val runTimes = RunTimes()
+
+    /** The machine types that the cloud offers, by name. */
     val types = LinkedHashMap<String, MachineType>()
     val jobs = LinkedHashMap<String, Job>()
     val machines = LinkedHashMap<String, Machine>()
-    private val usage = HashMap<String, Usage>()
-    private val teams = settings.teams.associateBy { it.name }
-    private var attemptNumber = 0L
+    private var lastAttemptNumber = 0L
 
     /** Jobs that have failed and not succeeded. */
     val unprovenJobs = LinkedHashSet<Job>()
 
-    /** Jobs to be cancelled with a predecessor. */
+    /** Jobs to be cancelled because a predecessor is. */
     val cancelledByDependency = LinkedHashSet<Job>()
 
-    /** Set when a job has become ready: its round need not wait for the next one that is due. */
+    /** Set when a job has become ready: its round need not wait until the next one is due. */
     var roundWanted = false
 
-    /** When this leader's replay ended. */
+    /** When the replay of this leader ended. */
     var replayedAtMs = 0L
 
     /** Until when nothing is planned, since a record could not be read. */
@@ -62,48 +60,37 @@
     /** Set when something waits for workers to see a higher term. */
     var raiseWanted = false
 
-    fun team(name: String) = teams[name]
-
-    /** The token of commands to [m]: the leader's term, or the revision at which the machine became its own if that is higher. */
-    fun token(m: Machine): Long = maxOf(term, m.epoch)
+    /** The leader key was rewritten at revision [newTerm]: whoever waited for a higher term has it. */
+    fun termRaised(newTerm: Long) {
+        term = newTerm
+        raiseWanted = false
+    }
 
-    /** Whether [m] has seen a token that nobody but this leader has given it, so that nobody else has renewed its lease since. */
-    fun hasSeenOurToken(m: Machine): Boolean = m.termSeen >= maxOf(firstTerm, m.epoch)
+    /** The fencing token of commands to [machine]: the leader's term, or the machine's ownership epoch if that is higher. */
+    fun token(machine: Machine): Long = maxOf(term, machine.epoch)
 
-    fun usage(team: String): Usage = usage.getOrPut(team) { Usage() }
+    /** Whether [machine] has seen a token that only this leader has given it, so that nobody else has renewed its lease since. */
+    fun hasSeenOurToken(machine: Machine): Boolean = machine.termSeen >= maxOf(firstTerm, machine.epoch)
 
     /**
-     * A number for the attempts of one round, never used by an earlier round or leader. It counts as used only when
-     * something is planned with it, which costs a write and so a revision: the numbers of a term, which starts at its
-     * revision times a constant, can then never reach those of the next.
+     * A number for the attempts of one round that no earlier round or leader has used. It counts as used only with [attemptUsed]:
+     * an attempt that is planned costs a write and so a revision. Since a term's numbers begin at a multiple of its revision, they
+     * never reach those of the next term.
      */
-    fun attemptNumber(): Long = maxOf(attemptNumber + 1, term * LeadershipConstants.ATTEMPTS_PER_TERM)
+    fun attemptNumber(): Long = maxOf(lastAttemptNumber + 1, term * LeadershipConstants.ATTEMPTS_PER_TERM)
 
+    /** An attempt was planned with [number], which is not given out again. */
     fun attemptUsed(number: Long) {
-        attemptNumber = number
+        lastAttemptNumber = number
     }
 
-    /** How many further tasks of [spec] its team's limit allows now. */
-    fun allowance(spec: JobSpec): Int {
-        val team = teams[spec.team] ?: return 0
-        val used = usage(spec.team)
-        var most = Int.MAX_VALUE
-        if (team.cpusMax > 0 && spec.cpus > 0) most = minOf(most, room(team.cpusMax - used.cpus, spec.cpus))
-        if (team.gpusMax > 0 && spec.gpus > 0) most = minOf(most, room(team.gpusMax - used.gpus, spec.gpus))
-        return most
-    }
-
-    private fun room(
-        free: Double,
-        each: Double,
-    ): Int = maxOf(0, Math.floor((free + 1e-6) / each).toInt())
-
-    /** Tasks that one round may place: a large fleet must not be filled at the pace of a small one. */
+    /** The most tasks that one round may place, in proportion to the CPUs of the fleet. */
     fun roundTasks(): Int {
         val cpus = machines.values.sumOf { if (it.state == MachineState.UP) it.type.cpus else 0.0 }
         return maxOf(PlacementConstants.MIN_ROUND_TASKS, (cpus * PlacementConstants.ROUND_TASKS_PER_CPU).toInt())
     }
 
+    /** Lets attempt [number] of task [index] of [job] occupy [machine], to be started in [incarnation] of its worker. */
     fun occupy(
         job: Job,
         index: Int,
@@ -111,57 +98,51 @@
         machine: Machine,
         incarnation: Long,
     ): Attempt {
-        val a = Attempt(job, index, number, machine, incarnation)
-        job.put(a)
-        machine.occupy(a)
-        val used = usage(job.spec.team)
-        used.cpus += job.spec.cpus
-        used.gpus += job.spec.gpus
-        return a
+        val attempt = Attempt(job, index, number, machine, incarnation)
+        job.put(attempt)
+        machine.occupy(attempt)
+        quotas.usage(job.spec.team).add(job.spec)
+        return attempt
     }
 
-    /** Frees what [a] occupies. Only to be called with proof that it is not, and will not come to be, on its machine. */
+    /** Frees what [attempt] occupies. Only to be called with proof that it is not on its machine and will not come to be there. */
     fun release(
-        a: Attempt,
+        attempt: Attempt,
         nowMs: Long,
         proof: String,
     ) {
-        if (!a.live) return
-        a.moveTo(AttemptState.RELEASED, nowMs)
-        a.machine.vacate(a)
-        a.job.remove(a)
-        val used = usage(a.job.spec.team)
-        used.cpus = maxOf(0.0, used.cpus - a.job.spec.cpus)
-        used.gpus = maxOf(0.0, used.gpus - a.job.spec.gpus)
-        // The record still names the old place. Left so, a successor would wait for proof from a machine long gone.
-        if (a.job.unwrittenSinceMs == 0L) a.job.unwrittenSinceMs = nowMs
-        if (proof != DONE &&
-            proof != DESCRIBED_ANEW &&
-            proof != NEVER_SENT
-        ) {
-            log("released ${a.job.spec.id}/${a.index} attempt ${a.number} from ${a.machine.id}: $proof")
-        }
+        if (!attempt.live) return
+        val job = attempt.job
+        attempt.moveTo(AttemptState.RELEASED, nowMs)
+        attempt.machine.vacate(attempt)
+        job.remove(attempt)
+        quotas.usage(job.spec.team).subtract(job.spec)
+        // The record still names the old machine: unless it is written anew, a successor waits for proof from a machine long gone.
+        if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+        val isRoutine = proof == DONE || proof == DESCRIBED_ANEW || proof == NEVER_SENT
+        if (!isRoutine) log("released ${job.spec.id}/${attempt.index} attempt ${attempt.number} from ${attempt.machine.id}: $proof")
     }
 
-    /** Wants [a] gone: at once if it was never sent, else by stop and proof. [quietly]: a line tells of all its job already. */
+    /** Wants [attempt] gone: at once if its start was never sent, else by a stop and proof. [quietly]: another log line covers it. */
     fun stop(
-        a: Attempt,
+        attempt: Attempt,
         nowMs: Long,
         reason: String,
         quietly: Boolean = false,
     ) {
-        if (!a.live || a.state == AttemptState.STOPPING) return
-        if (!a.startSent) return release(a, nowMs, if (quietly) NEVER_SENT else "never sent; $reason")
-        if (!quietly) log("stopping ${a.job.spec.id}/${a.index} attempt ${a.number} on ${a.machine.id}: $reason")
-        a.moveTo(AttemptState.STOPPING, nowMs)
+        if (!attempt.live || attempt.state == AttemptState.STOPPING) return
+        if (!attempt.startSent) return release(attempt, nowMs, if (quietly) NEVER_SENT else "never sent; $reason")
+        if (!quietly) log("stopping ${attempt.job.spec.id}/${attempt.index} attempt ${attempt.number} on ${attempt.machine.id}: $reason")
+        attempt.moveTo(AttemptState.STOPPING, nowMs)
     }
 
-    /** Stops all tasks of the cancelled [job]; one line of the log tells of all of them elsewhere. */
+    /** Stops all tasks of the cancelled [job], with no log line for each. */
     fun stopAll(
         job: Job,
         nowMs: Long,
     ) = job.activeAttempts.toList().forEach { stop(it, nowMs, "cancelled", quietly = true) }
 
+    /** Task [index] of [job] has completed. */
     fun markDone(
         job: Job,
         index: Int,
@@ -171,11 +152,18 @@
         if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
     }
 
-    fun taskId(a: Attempt) = TaskId(a.job.spec.id, a.index)
+    /** The task that [attempt] is one of. */
+    fun taskId(attempt: Attempt) = TaskId(attempt.job.spec.id, attempt.index)
 
+    /** Proofs for [release] that are so common that they are not logged. */
     companion object {
+        /** The task has completed. */
         const val DONE = "done"
+
+        /** Its start was never sent. */
         const val NEVER_SENT = "never sent"
+
+        /** A later record, or the lack of one, replaces what was known of the attempt. */
         const val DESCRIBED_ANEW = "described anew"
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/ScaleOutIntent.kt
@@ -0,0 +1,13 @@
+package mintfield.core
+
+/**
+ * The leader's decision to provision [number] instances of a machine type in a zone. It is recorded before the request is sent, and a
+ * successor repeats the request with the same [idempotencyKey], which the cloud carries out once.
+ */
+data class ScaleOutIntent(
+    val idempotencyKey: String,
+    val type: String,
+    val zone: String,
+    val spot: Boolean,
+    val number: Int,
+)
--- a/src/main/kotlin/mintfield/core/ownership/ShardLoad.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardLoad.kt
@@ -100,7 +100,7 @@
             if (job.cancelled || job.schedulableTasks <= 0) continue
             val spec = job.spec
             val taken = takenCpus[spec.team] ?: 0.0
-            val allowed = cluster.allowance(spec)
+            val allowed = cluster.quotas.allowance(spec)
             val left = if (allowed == Int.MAX_VALUE || spec.cpus <= 0) allowed else maxOf(0, allowed - Math.ceil(taken / spec.cpus).toInt())
             val tasks = minOf(job.schedulableTasks, left)
             if (tasks <= 0) continue
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -65,7 +65,7 @@
         for (job in cluster.jobs.values
             .filter { it.ready }
             .sortedBy { it.readySinceMs }) {
-            val team = cluster.team(job.spec.team) ?: continue
+            val team = cluster.quotas.team(job.spec.team) ?: continue
             if (job.cancelled || job.health == JobHealth.SUSPECT || (team.cpus <= 0 && team.gpus <= 0)) continue
             val sum = used.getOrPut(job.spec.team) { DoubleArray(2) }
             sum[0] += job.spec.tasks * job.spec.cpus
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -107,7 +107,7 @@
         patienceS: Double,
         candidates: () -> List<Machine>,
     ): Int {
-        val allowed = minOf(most, cluster.allowance(job.spec), job.schedulableTasks)
+        val allowed = minOf(most, cluster.quotas.allowance(job.spec), job.schedulableTasks)
         if (allowed <= 0 || search.exhausted.covers(job, worst, patienceS)) return 0
         val planned = place(job, search, candidates(), allowed, worst, patienceS)
         if (planned < allowed) search.exhausted.note(job, worst, patienceS)
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -32,7 +32,7 @@
         val old = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.cancelled && ageMs(it) > PlacementConstants.LONG_STARVATION_MS }
         if (old.isEmpty()) return turns
         var room = capacity * PlacementConstants.LONG_STARVATION_CPU_FRACTION - old.sumOf { it.activeAttempts.size * it.spec.cpus }
-        val order = compareBy<Job>({ cluster.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
+        val order = compareBy<Job>({ cluster.quotas.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
         val asking = waiting.toHashSet()
         for (job in old.filter { it in asking }.sortedWith(order)) {
             val tasks = minOf(job.schedulableTasks, (room / maxOf(job.spec.cpus, LEAST_CPUS)).toInt())
