--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -14,60 +14,54 @@
 import mintfield.io.store.StoreClient
 import java.nio.channels.AsynchronousChannelGroup
 
-/** The systems outside, as this node reaches them. */
+/** The clients of this controller for the state service, the cloud and the workers, with the paces that are permitted. */
 class ExternalServices(
     val settings: Settings,
     private val loop: EventLoop,
     private val group: AsynchronousChannelGroup,
 ) {
-    /** Controllers that may call the cloud at the same time: all, where each leads a share. */
-    private val callers = if (settings.operator.sharding == null) 1 else settings.peers.size + 1
+    /** Controllers that may call the cloud at the same time: all of them, where each leads a shard. */
+    private val cloudCallers = if (settings.operator.sharding == null) 1 else settings.peers.size + 1
+
     val store =
         StoreClient(
             client(settings.stateAddress, STORE_CONNECTIONS),
-            client(settings.stateAddress, 2),
-            RateLimiter(loop, settings.stateRps * STORE_SHARE, settings.stateRps * STORE_SHARE),
+            client(settings.stateAddress, STORE_WATCH_CONNECTIONS),
+            RateLimiter(loop, settings.stateRps * STORE_RATE_FRACTION, settings.stateRps * STORE_RATE_FRACTION),
         )
     val cloud =
         CloudClient(
             client(settings.cloudAddress, 1),
-            RateLimiter(loop, settings.cloudRps * FleetConstants.CLOUD_CALL_FRACTION / callers, settings.cloudRps / callers),
+            RateLimiter(loop, settings.cloudRps * FleetConstants.CLOUD_CALL_FRACTION / cloudCallers, settings.cloudRps / cloudCallers),
         )
     val metrics = Metrics()
 
-    /** What the store permits now, as far as this node knows. */
+    /** What the state service permits now, as far as this controller knows. */
     val stateLimits = StateLimitsInForce(settings)
+
+    /** The machine types, by name; empty until they have been read. */
     val types = LinkedHashMap<String, MachineType>()
-    private val maxWorkers = ConnectionLimits(settings).keptToWorkers
-    private val workers = LinkedHashMap<String, HttpClient>(16, 0.75f, true)
+    private val workers = WorkerClients(ConnectionLimits(settings).keptToWorkers) { HttpClient(loop, group, it, maxIdle = 1) }
 
+    /** Asks the cloud for the machine types, once; [types] stays as it is if that fails. */
     suspend fun readTypes() {
         (cloud.types() as? CloudResult.Ok)?.value?.forEach { types[it.name] = it }
     }
 
+    /** A client for a configured [address] that keeps up to [maxIdle] connections. */
     fun client(
         address: String,
         maxIdle: Int,
     ) = HttpClient(loop, group, requireNotNull(parseAddress(address)), maxIdle)
 
-    /** The client for a worker; one connection each is kept. */
-    fun worker(address: String): HttpClient? {
-        workers[address]?.let { return it }
-        val parsed = parseAddress(address) ?: return null
-        val fresh = HttpClient(loop, group, parsed, maxIdle = 1)
-        workers[address] = fresh
-        if (workers.size > maxWorkers) {
-            val eldest = workers.entries.iterator().next()
-            eldest.value.closeIdle()
-            workers.remove(eldest.key)
-        }
-        return fresh
-    }
+    /** The client for the worker at [address]; null if that is not an address. */
+    fun worker(address: String): HttpClient? = workers.at(address)
 
     private companion object {
         const val STORE_CONNECTIONS = 6
+        const val STORE_WATCH_CONNECTIONS = 2
 
-        /** One node's part of the permitted requests. */
-        const val STORE_SHARE = 0.45
+        /** The part of the permitted requests per second that one controller uses. */
+        const val STORE_RATE_FRACTION = 0.45
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
@@ -21,6 +21,7 @@
     /** Whether the leader key's [entry] was written in this tenure. */
     fun owns(entry: Entry): Boolean = entry.data["nonce"] == nonce && entry.lease == lease
 
+    /** How the leader key is written, also before the election is won. */
     companion object {
         /** The value of the leader key while the process [nonce] of [member] leads. */
         fun leaderValue(
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -53,7 +53,7 @@
         val records = readLeaderRecords()
         // Jobs may have been accepted or cancelled at other nodes meanwhile; from here on the listener is told of them.
         readJobs()
-        replay(records, listener)
+        handOver(records, listener)
         Log.info(
             "replayed ${scheduler.cluster.jobs.size} jobs, ${records.rounds.size} rounds, ${records.intents.size} intents, " +
                 "${scheduler.cluster.machines.size} machines in ${loop.nowMs() - startedAtMs} ms",
@@ -90,7 +90,7 @@
         if (loop.nowMs() - loop.startedAtMs > LeadershipConstants.WARMED_UP_MS) return
         val startedAtMs = loop.nowMs()
         delay(LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS)
-        while (scheduler.receivesFirstHeartbeats(loop.nowMs()) && loop.nowMs() - startedAtMs < LeadershipConstants.MAX_REPLAY_DELAY_MS) {
+        while (scheduler.heartbeats.receivesFirstHeartbeats(loop.nowMs()) && loop.nowMs() - startedAtMs < LeadershipConstants.MAX_REPLAY_DELAY_MS) {
             delay(LeadershipConstants.REPLAY_DELAY_CHECK_MS)
         }
     }
@@ -126,7 +126,8 @@
         } while (hasNext && after != null)
     }
 
-    private fun replay(
+    /** Hands everything to the scheduler without suspending, so that no change comes in between. */
+    private fun handOver(
         records: LeaderRecords,
         listener: JobListener,
     ) {
--- /dev/null
+++ b/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
@@ -0,0 +1,72 @@
+package mintfield.app.replica
+
+import mintfield.core.jobs.JobChange
+import mintfield.core.jobs.JobRecord
+import mintfield.core.jobs.JobReplica
+import mintfield.core.model.AcceptedJob
+import mintfield.io.loop.Log
+import mintfield.io.store.Change
+import mintfield.io.store.Keys
+import mintfield.io.store.Page
+import mintfield.io.store.Records
+
+/** Reads jobs from entries and changes of the state service. A record that cannot be read affects neither the others nor its own job's users. */
+internal class JobRecordReader(
+    private val replica: JobReplica,
+    private val recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
+) {
+    /** The records of one [page] of unfinished jobs, by job id. */
+    fun records(page: Page): Map<String, JobRecord> =
+        page.entries.associate { entry ->
+            val id = entry.key.removePrefix(Keys.LIVE)
+            id to record(id, entry.data, entry.revision)
+        }
+
+    /** What [change] means for a job; null if it concerns none, or a final state that cannot be read. */
+    fun jobChange(change: Change): JobChange? =
+        when {
+            change.key.startsWith(Keys.LIVE) -> liveChange(change.key.removePrefix(Keys.LIVE), change)
+            change.key.startsWith(Keys.FINAL) -> finalChange(change.key.removePrefix(Keys.FINAL), change)
+            else -> null
+        }
+
+    private fun liveChange(
+        id: String,
+        change: Change,
+    ): JobChange {
+        val data = change.data ?: return JobChange.Removed(id, change.revision)
+        return JobChange.Written(id, record(id, data, change.revision))
+    }
+
+    private fun finalChange(
+        id: String,
+        change: Change,
+    ): JobChange? {
+        val state = change.data?.let { Records.parseFinal(it) } ?: return null
+        return JobChange.Ended(id, change.revision, state)
+    }
+
+    private fun record(
+        id: String,
+        data: Map<String, Any?>,
+        revision: Long,
+    ): JobRecord {
+        val job = parse(id, data, revision)
+        if (job != null) return JobRecord.Readable(job)
+        if (!replica.isUnreadable(id, revision)) Log.error("$id: its record of revision $revision cannot be read; it is kept and called pending")
+        return JobRecord.Unreadable(revision)
+    }
+
+    @Suppress("TooGenericExceptionCaught") // Whatever one record makes the parser throw must not stop the reading of the others.
+    private fun parse(
+        id: String,
+        data: Map<String, Any?>,
+        revision: Long,
+    ): AcceptedJob? =
+        try {
+            Records.parseLive(data, revision, recomputeCompatibleTypes)
+        } catch (e: RuntimeException) {
+            Log.debug("$id: $e")
+            null
+        }
+}
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -1,45 +1,36 @@
 package mintfield.app.replica
 
-import kotlinx.coroutines.CancellationException
-import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
-import kotlinx.coroutines.launch
-import kotlinx.coroutines.withTimeoutOrNull
 import mintfield.core.constants.StoreConstants
-import mintfield.core.constants.UserApiConstants
 import mintfield.core.dependencies.DependencyGraph
-import mintfield.core.jobs.JobChange
 import mintfield.core.jobs.JobListener
-import mintfield.core.jobs.JobRecord
 import mintfield.core.jobs.JobReplica
 import mintfield.core.jobs.KnownJob
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
-import mintfield.io.loop.Log
-import mintfield.io.store.Change
 import mintfield.io.store.Keys
-import mintfield.io.store.Page
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
 /**
- * Keeps this node's [JobReplica] by the store. The replica may lag; [current] brings it up to the time of the call, with
- * one request to the store for all who wait.
+ * Keeps this process's [JobReplica] in step with the state service. The replica may lag behind; [current] brings it up to the time
+ * of the call, with one request for all who wait.
  */
 class JobReplicator(
     private val store: StoreClient,
-    private val scope: CoroutineScope,
-    private val checkGapMs: Long,
+    scope: CoroutineScope,
+    /** Milliseconds between two checks for users. */
+    checkGapMs: Long,
     private val nowMs: () -> Long,
-    private val recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
+    recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
 ) {
     private enum class CatchUp { CURRENT, HISTORY_LOST, NO_ANSWER }
 
     private val replica = JobReplica()
-    private var waiters = ArrayList<CompletableDeferred<Boolean>>()
-    private var checking = false
+    private val reader = JobRecordReader(replica, recomputeCompatibleTypes)
+    private val freshness = FreshnessCheck(scope, checkGapMs, ::check)
+    private val predecessors = PredecessorResolver(store, scope, replica)
 
     /** The unfinished jobs, by id. */
     val live: Map<String, AcceptedJob> get() = replica.live
@@ -47,9 +38,15 @@
     /** Whether the jobs have been read. */
     val loaded: Boolean get() = replica.loaded
 
-    /** Told of jobs that change: the leaders here. */
+    /** Which unfinished jobs depend on which others. */
+    val dependencies: DependencyGraph get() = replica.dependencies
+
+    /** Told of changes of jobs: one for each leader in this process. */
     val listeners = LinkedHashSet<JobListener>()
 
+    /** Told when the replica shows everything that had happened by a moment, in steady milliseconds. */
+    var onComplete: (Long) -> Unit = {}
+
     init {
         replica.listener =
             object : JobListener {
@@ -63,54 +60,29 @@
             }
     }
 
-    /** Which unfinished jobs depend on which others. */
-    val dependencies: DependencyGraph get() = replica.dependencies
-
-    private var resolving = false
-
-    /** Told when the view shows all that had happened by a moment, in steady milliseconds. */
-    var onComplete: (Long) -> Unit = {}
-
-    /** What this node knows of the job [id] now. */
+    /** What this process knows of the job [id] now; null if nothing. */
     fun known(id: String): KnownJob? = replica.known(id)
 
-    /** Keeps the final state of job [id], which the store holds. */
+    /** Keeps the final [state] of job [id], which the state service holds. */
     fun ended(
         id: String,
         state: FinalState,
     ) = replica.ended(id, state)
 
-    /** True once the view shows all that had happened in the store when this was called. */
-    suspend fun current(): Boolean {
-        val answer = CompletableDeferred<Boolean>()
-        waiters.add(answer)
-        if (!checking) {
-            checking = true
-            scope.launch { checkWhileWanted() }
-        }
-        return withTimeoutOrNull(UserApiConstants.QUERY_TIMEOUT_MS) { answer.await() } ?: false
-    }
+    /** True once the replica shows everything that had happened in the state service when this was called; false without an answer. */
+    suspend fun current(): Boolean = freshness.await()
 
-    private suspend fun checkWhileWanted() {
-        try {
-            while (waiters.isNotEmpty()) {
-                // Only who waited before a check was sent may rest on it.
-                val batch = waiters
-                waiters = ArrayList()
-                val ok =
-                    try {
-                        check()
-                    } catch (e: CancellationException) {
-                        throw e
-                    } catch (e: RuntimeException) {
-                        Log.error("check of the jobs failed: ${e.message}")
-                        false
-                    }
-                batch.forEach { it.complete(ok) }
-                if (waiters.isNotEmpty()) delay(checkGapMs)
+    /** Looks up the predecessors of job [id], direct and indirect, of which nothing is known; false if the state service does not answer. */
+    suspend fun resolveBefore(id: String): Boolean = predecessors.resolveBefore(id)
+
+    /** Follows changes as they come, until cancelled. */
+    suspend fun follow() {
+        while (true) {
+            if (!loaded && !load()) {
+                delay(StoreConstants.STORE_RETRY_MS)
+                continue
             }
-        } finally {
-            checking = false
+            if (catchUp(StoreConstants.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_ANSWER) delay(StoreConstants.STORE_RETRY_MS)
         }
     }
 
@@ -123,18 +95,7 @@
         }
     }
 
-    /** Follows changes as they come, until cancelled. */
-    suspend fun follow() {
-        while (true) {
-            if (!loaded && !load()) {
-                delay(StoreConstants.STORE_RETRY_MS)
-                continue
-            }
-            if (catchUp(StoreConstants.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_ANSWER) delay(StoreConstants.STORE_RETRY_MS)
-        }
-    }
-
-    /** Takes over all changes since the replica's revision, after waiting [waitMs] at the most for one to come. */
+    /** Applies all changes since the replica's revision, after waiting [waitMs] at the most for one to come. */
     private suspend fun catchUp(
         waitMs: Long,
         urgent: Boolean = false,
@@ -146,93 +107,26 @@
             replica.historyLost(after)
             return CatchUp.HISTORY_LOST
         }
-        replica.apply(changes.log.mapNotNull(::jobChange), changes.revision)
-        resolvePredecessors()
+        replica.apply(changes.log.mapNotNull(reader::jobChange), changes.revision)
+        predecessors.resolveAll()
         onComplete(sentAtMs)
         return CatchUp.CURRENT
     }
 
-    /** Reads all unfinished jobs; changes after the first page come by the next watch. */
+    /** Reads all unfinished jobs; changes after the first page come by the next watch. False without an answer. */
     private suspend fun load(): Boolean {
         val sentAtMs = nowMs()
         replica.beginSnapshot().use { snapshot ->
             var after: String? = null
             do {
                 val page = (store.list(Keys.LIVE, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
-                snapshot.page(page.revision, records(page))
+                snapshot.page(page.revision, reader.records(page))
                 after = page.entries.lastOrNull()?.key
             } while (page.hasNext && after != null)
             snapshot.complete()
         }
-        resolvePredecessors()
+        predecessors.resolveAll()
         onComplete(sentAtMs)
         return true
     }
-
-    private fun records(page: Page): Map<String, JobRecord> =
-        page.entries.associate { entry ->
-            val id = entry.key.removePrefix(Keys.LIVE)
-            id to record(id, entry.data, entry.revision)
-        }
-
-    private fun jobChange(change: Change): JobChange? {
-        val data = change.data
-        if (change.key.startsWith(Keys.LIVE)) {
-            val id = change.key.removePrefix(Keys.LIVE)
-            return if (data == null) JobChange.Removed(id, change.revision) else JobChange.Written(id, record(id, data, change.revision))
-        }
-        if (!change.key.startsWith(Keys.FINAL) || data == null) return null
-        val state = Records.parseFinal(data) ?: return null
-        return JobChange.Ended(change.key.removePrefix(Keys.FINAL), change.revision, state)
-    }
-
-    /** Looks up how those predecessors ended that were over before this node read the jobs. */
-    private fun resolvePredecessors() {
-        if (resolving || dependencies.unresolved.isEmpty()) return
-        resolving = true
-        scope.launch {
-            try {
-                while (dependencies.unresolved.isNotEmpty()) {
-                    if (!resolve(dependencies.unresolved.first())) delay(StoreConstants.STORE_RETRY_MS)
-                }
-            } finally {
-                resolving = false
-            }
-        }
-    }
-
-    /** Looks up the predecessors of job [id], direct and through others, that it is not known of; false if that was not possible. */
-    suspend fun resolveBefore(id: String): Boolean = dependencies.unresolvedBefore(id).all { resolve(it) }
-
-    /** Reads the final state of the predecessor [id]; false without an answer. */
-    private suspend fun resolve(id: String): Boolean {
-        val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        val state = found.value?.let { Records.parseFinal(it.data) }
-        if (state != null) {
-            replica.ended(id, state)
-        } else if (id in dependencies.unresolved) {
-            // Its record may have come while the final state was read; if not, there is nothing to wait for and nothing to rely on.
-            Log.error("$id, on which other jobs depend, has neither a record nor a final state that can be read: they wait")
-            dependencies.unknown(id)
-        }
-        return true
-    }
-
-    /** One record that cannot be read must stop neither the others nor the answers about its own job. */
-    private fun record(
-        id: String,
-        data: Map<String, Any?>,
-        revision: Long,
-    ): JobRecord {
-        val job =
-            try {
-                Records.parseLive(data, revision, recomputeCompatibleTypes)
-            } catch (e: RuntimeException) {
-                Log.debug("$id: $e")
-                null
-            }
-        if (job != null) return JobRecord.Readable(job)
-        if (!replica.isUnreadable(id, revision)) Log.error("$id: its record of revision $revision cannot be read; it is kept and called pending")
-        return JobRecord.Unreadable(revision)
-    }
 }
--- a/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
+++ b/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
@@ -4,22 +4,22 @@
 import mintfield.core.model.Settings
 
 /**
- * Whether a controller's sockets and memory suffice for the fleet that its operators expect. What is short is said at the start,
- * when something can still be done about it; how it is met is said with it.
+ * Checks whether a controller's sockets and memory suffice for the fleet that its operators expect. It is made at the start, when the
+ * settings can still be changed, and each finding names its remedy or its consequence.
  */
 class FleetCapacityCheck(
     private val settings: Settings,
 ) {
-    private val bounds = ConnectionLimits(settings)
+    private val limits = ConnectionLimits(settings)
 
-    /** One line for each thing that is short; none if the operators have not said how large the fleet is. */
+    /** One line for each resource that is short, with a heap of [heapBytes]; none if the settings do not tell the size of the fleet. */
     fun shortcomings(heapBytes: Long): List<String> {
         val machines = settings.operator.fleetMachines ?: return emptyList()
         return listOfNotNull(sockets(machines), memory(machines, heapBytes))
     }
 
     private fun sockets(machines: Int): String? {
-        val kept = bounds.machinesKept(otherConnections = 0)
+        val kept = limits.machinesKept(otherConnections = 0)
         if (machines <= kept) return null
         return "max_sockets ${settings.maxSockets} lets $kept workers keep their connections of $machines: the others connect anew for each report"
     }
--- a/src/main/kotlin/mintfield/core/LearnedState.kt
+++ b/src/main/kotlin/mintfield/core/LearnedState.kt
@@ -1,13 +1,16 @@
 package mintfield.core
 
 /**
- * What a leader has learned and a successor would otherwise learn anew: which images the machines hold, how wrong
- * the classes' estimates are, and which jobs fail everywhere. Nothing that the rules depend on rests on it, so it may be old, cut short or missing.
+ * What a leader has learned and a successor would otherwise have to learn again. It is advisory: no rule depends on it, so it may be
+ * old, incomplete or missing.
  */
 data class LearnedState(
+    /** The sizes of the images in [machineImages], in GB. */
     val imageGb: Map<String, Double>,
+    /** The images that each machine caches. */
     val machineImages: Map<String, List<String>>,
+    /** By job class: the logarithm of the ratio of run times to their estimates. */
     val logRatio: Map<String, Double>,
-    /** Jobs that fail everywhere, and how often each was tried since that was known. */
+    /** Jobs that fail on every machine, and how often each was probed since that became known. */
     val suspectJobs: Map<String, Int> = emptyMap(),
 )
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -45,7 +45,7 @@
     /** Restores what earlier leaders have recorded. */
     val replay = LeaderReplay(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, cancellations)
     private val jobs = JobLifecycle(cluster, dependencies, planJournal, cancellations, replay, log)
-    private val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, cancellations, replay)
+    internal val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, cancellations, replay)
     private val directCommands = DirectCommands(cluster, reconciler, log)
     private val commits =
         CommitPlanner(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, InheritedUrgency(cluster, dependencies), jobs::removed, log)
@@ -98,9 +98,6 @@
         cancellationsToMs: Long = nowMs,
     ): HeartbeatResponse = heartbeats.answer(heartbeat, mayAct, nowMs, relayed, viaRelayPeer, cancellationsToMs)
 
-    /** Whether workers have recently sent their first heartbeat since the election. Their leases must not expire because of the replay. */
-    fun receivesFirstHeartbeats(nowMs: Long): Boolean = heartbeats.receivesFirstHeartbeats(nowMs)
-
     /** Commands that are to be sent straight to workers now, for [most] workers at the most. Each call has to be answered or given up. */
     fun directCalls(
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -8,44 +8,48 @@
 import mintfield.core.model.Settings
 
 /**
- * Times that follow from how often workers report and how long their leases last. Sites differ by more than twice in
- * both, and a constant that fits one calls honest machines silent, or returns hanging ones too early, at another.
+ * Times that follow from the heartbeat interval and the lease of the workers, which differ widely between sites: a constant that suits
+ * one would take healthy machines for silent, or release hanging ones too early, at another. All are in milliseconds.
  */
 class Timings(
     settings: Settings,
 ) {
-    private val leaseMs = settings.leaseS * MS
+    private val leaseMs = settings.leaseS * MS_PER_S
 
-    /** The longest that an honest worker takes from one heartbeat to the next. */
-    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * MS * WorkerConstants.HEARTBEAT_SPREAD
+    /** The longest time between two heartbeats of a healthy worker. */
+    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * MS_PER_S * WorkerConstants.HEARTBEAT_SPREAD
 
-    /** Without a heartbeat for so long a machine gets no new tasks: longer than an honest interval with a heartbeat lost. */
+    /** Without a heartbeat for this long a machine gets no new tasks. It is longer than the interval of a healthy worker with a heartbeat lost. */
     val heartbeatTimeoutMs = maxOf(WorkerConstants.MIN_HEARTBEAT_TIMEOUT_MS, (longestHeartbeatGapMs + WorkerConstants.HEARTBEAT_TIMEOUT_SLACK_MS).toLong())
 
-    /** A worker heard directly within this time is told to come directly again; others may be relayed. */
+    /** A worker that sent a heartbeat directly within this time is told to do so again; others may be relayed. */
     val relayAfterMs = maxOf(PeerConstants.MIN_DIRECT_ROUTE_FRESH_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
-    /** After a failover tasks wait this long for machines that hold their image: until an honest one has reported. */
+    /** After a failover tasks wait this long for machines that hold their image: by then a healthy worker has sent a heartbeat. */
     val settleMs = maxOf(PlacementConstants.MIN_SETTLE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
-    /** A machine that a replayed plan names and that has not reported is returned after this: its lease has ended, or it
-     *  has had that long to find the leader. */
+    /**
+     * A machine of a replayed plan that has sent no heartbeat is released after this time: its lease has expired, and it has had the
+     * time to find the leader.
+     */
     val replayedReleaseMs = (leaseMs + FleetConstants.FIND_LEADER_MS).toLong()
 
-    /** The same for a machine that the list does not have either. */
+    /** The same for a machine that is not in the cloud's list either. */
     val unlistedReleaseMs = maxOf(FleetConstants.UNLISTED_RELEASE_MS, (longestHeartbeatGapMs + FleetConstants.UNLISTED_RELEASE_SLACK_MS).toLong())
 
-    /** Silence after which a machine is returned: most that hang come back within their lease or soon after it. */
+    /** Without a heartbeat for this long a machine is released: most that hang are back within their lease or soon after it. */
     val unresponsiveReleaseMs = settings.operator.unresponsiveReleaseMs ?: (leaseMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS).toLong()
 
-    /** Time between two times that an isolated leader sends the same worker away: a round of the controllers uses up
-     *  a third to a half of its lease, and what it learns holds for a while. */
+    /**
+     * The shortest time between two redirects of the same worker by an isolated leader: to try all controllers takes the worker a
+     * third to a half of its lease.
+     */
     val redirectIntervalMs = (leaseMs * PeerConstants.REDIRECT_INTERVAL_LEASES).toLong()
 
-    /** Silence after which a worker's lease has certainly ended. */
+    /** Without an answered heartbeat for this long a worker's lease has certainly expired. */
     val leaseExpiryMs = (leaseMs * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() + WorkerConstants.WORKER_LEASE_MARGIN_MS
 
     private companion object {
-        const val MS = 1000.0
+        const val MS_PER_S = 1000.0
     }
 }
