--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import mintfield.app.api.ClientRoutes
+import mintfield.app.api.JobAdmission
 import mintfield.app.api.JobProgressView
 import mintfield.app.api.JobStatusService
 import mintfield.app.api.JobSubmissionService
@@ -79,10 +80,9 @@
     private val versions = VersionRecords(settings, services.store, loop)
     private val statuses = JobStatusService(services.store, replicator, progress::of, cancellations::append, health::isStoreUnreachable)
     private val predecessors = PredecessorLookup(services.store, replicator)
+    private val admission = JobAdmission(settings.teams) { services.types.values }
     private val submissions =
-        JobSubmissionService(settings, replicator, statuses, userWrites, predecessors, versions, services.stateLimits, {
-            services.types.values
-        }, health::isStoreUnreachable)
+        JobSubmissionService(admission, replicator, statuses, userWrites, predecessors, versions, services.stateLimits, health::isStoreUnreachable)
     private val users = UserApi(statuses, submissions, replicator, userWrites, services.stateLimits)
     private val heartbeats = HeartbeatEndpoint(loop, settings, health, relay, elections)
 
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -2,7 +2,7 @@
 
 import mintfield.app.leader.Leader
 import mintfield.app.sharding.ShardingContext
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.HeartbeatCodec
 
 /** The elections that this process takes part in: one, or one for each shard of the machines. */
 class LeaderElections(
@@ -25,7 +25,7 @@
     /** The election whose leader answers the heartbeat in [body]; null if its machine has no owner. */
     fun forHeartbeat(body: ByteArray): LeaderElection? {
         if (sharding == null) return members.single()
-        val machine = WorkerCodec.heartbeat(body)?.machine ?: return null
+        val machine = HeartbeatCodec.decode(body)?.machine ?: return null
         return sharding.shardFor(machine)?.let(::member)
     }
 
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -18,7 +18,8 @@
 import mintfield.io.http.Response
 import mintfield.io.json.Json
 import mintfield.io.loop.EventLoop
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.CommandCodec
+import mintfield.io.worker.HeartbeatReader
 
 /** Answers workers' heartbeats: by a leader in this process, by relaying them to one elsewhere, or by redirecting the worker. */
 class HeartbeatEndpoint(
@@ -31,13 +32,13 @@
     private val probe = IsolatedLeaderProbe(Timings(settings).redirectIntervalMs)
     private val peerRedirects = PeerRedirects()
     private val relaySelector = RelayPeerSelector(settings.peers.map { it.member } + settings.member, settings.member)
-    private val reader = WorkerCodec.Reader(maxOf(settings.maxSockets, settings.operator.fleetMachines ?: 0))
+    private val reader = HeartbeatReader(maxOf(settings.maxSockets, settings.operator.fleetMachines ?: 0))
 
     /** Answers a heartbeat that came straight from its worker; [body] is the whole request body. */
     suspend fun receive(body: ByteArray): Response {
         val election = elections.forHeartbeat(body) ?: return redirect(to = null)
         val leader = election.leader ?: return relayToLeader(election, body)
-        val heartbeat = reader.heartbeat(body) ?: return notAHeartbeat()
+        val heartbeat = reader.read(body) ?: return notAHeartbeat()
         val isIsolated = health.isolation.redirectsWorkers(leader.leaseLeftMs(), loop.nowMs())
         if (isIsolated && probe.shouldRedirect(heartbeat.machine, loop.nowMs())) return redirect(to = null)
         return answerDirect(leader, heartbeat)
@@ -46,7 +47,7 @@
     /** Answers a heartbeat that a peer has relayed. It is not relayed any further. */
     suspend fun relayed(body: ByteArray): Response {
         val leader = elections.forHeartbeat(body)?.leader ?: return unavailable()
-        val heartbeat = reader.heartbeat(body) ?: return notAHeartbeat()
+        val heartbeat = reader.read(body) ?: return notAHeartbeat()
         if (relayPeer() == null && leader.routes.shouldConnectDirectly(heartbeat)) return redirect(to = null)
         return answer(leader, heartbeat, relayed = true)
     }
@@ -90,7 +91,7 @@
         // It may have been deposed while the heartbeat waited.
         if (leader !in elections.leaders) return redirect(to = null)
         leader.wake()
-        return Response(HttpStatus.OK, WorkerCodec.commands(answer.term, null, answer.commands))
+        return Response(HttpStatus.OK, CommandCodec.encode(answer.term, null, answer.commands))
     }
 
     /** Relays the heartbeat to the leader at a peer, and its answer back. A 421 of the leader means that the worker should connect to it. */
@@ -119,7 +120,7 @@
         val next = if (alone) awaitNextLeader(election, silentLeader, sentAtMs) else NextLeader.Unknown
         return when (next) {
             is NextLeader.Here -> {
-                val heartbeat = reader.heartbeat(body) ?: return notAHeartbeat()
+                val heartbeat = reader.read(body) ?: return notAHeartbeat()
                 answer(next.leader, heartbeat, relayed = true)
             }
 
@@ -165,7 +166,7 @@
         silentLeader: String,
         body: ByteArray,
     ): Response {
-        val heartbeat = reader.heartbeat(body) ?: return notAHeartbeat()
+        val heartbeat = reader.read(body) ?: return notAHeartbeat()
         return redirect(peerRedirects.offer(heartbeat.machine, health.reachablePeerExcept(silentLeader), loop.nowMs()))
     }
 
--- a/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
+++ b/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
@@ -36,7 +36,7 @@
         when (call) {
             is CloudCall.Provision -> provision(call)
             is CloudCall.Release -> settle(call, cloud.release(call.machines)) { fleet.released(call.machines, loop.nowMs()) }
-            is CloudCall.ListPage -> settle(call, cloud.list(call.after)) { (page, hasNext) -> fleet.listed(page, hasNext, loop.nowMs()) }
+            is CloudCall.ListPage -> settle(call, cloud.list(call.after)) { fleet.listed(it.machines, it.hasNext, loop.nowMs()) }
             CloudCall.Types -> settle(call, cloud.types()) { fleet.typesRead(it, loop.nowMs()) }
         }
     }
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -10,7 +10,8 @@
 import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
-import mintfield.io.worker.WorkerCodec
+import mintfield.io.worker.CommandCodec
+import mintfield.io.worker.HeartbeatCodec
 
 /** Sends commands to workers without waiting for their heartbeats. The number of calls under way is bounded. */
 class DirectCommandSender(
@@ -39,7 +40,7 @@
 
     private suspend fun send(call: DirectCall) {
         val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
-        val body = WorkerCodec.commands(call.term, call.incarnation, call.commands)
+        val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
         when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
             is Reply.Answer -> take(reply, call)
             is Reply.None -> scheduler.directUnanswered(call, reply.sent, loop.nowMs())
@@ -51,7 +52,7 @@
         call: DirectCall,
     ) {
         val isRefused = answer.status == HttpStatus.CONFLICT
-        val heartbeat = if (answer.status == HttpStatus.OK || isRefused) WorkerCodec.heartbeat(answer.body) else null
+        val heartbeat = if (answer.status == HttpStatus.OK || isRefused) HeartbeatCodec.decode(answer.body) else null
         if (isRefused) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
         scheduler.directAnswered(call, heartbeat, loop.nowMs())
         answered()
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -15,8 +15,11 @@
 import mintfield.io.loop.Log
 import mintfield.io.store.Entry
 import mintfield.io.store.LeaderKeys
-import mintfield.io.store.Records
+import mintfield.io.store.LearnedStateCodec
+import mintfield.io.store.RoundCodec
+import mintfield.io.store.ScaleOutIntentCodec
 import mintfield.io.store.StoreResult
+import mintfield.io.store.ZoneFenceCodec
 
 /**
  * Reads what earlier leaders have recorded and hands it to the scheduler of a new one: zone fences, machine types, jobs, scale-out
@@ -68,7 +71,7 @@
         val fencing = scheduler.zoneFencing
         for (entry in readAll(keys.zoneFences)) {
             val key = entry.key.removePrefix(keys.zoneFences)
-            Records.parseZoneFence(key, entry.data)?.let { fencing.replay(it) } ?: fencing.replayUnreadable(key)
+            ZoneFenceCodec.decode(key, entry.data).valueOrNull?.let { fencing.replay(it) } ?: fencing.replayUnreadable(key)
         }
         fencing.read = true
     }
@@ -99,7 +102,7 @@
         val intents = readAll(keys.intents)
         val rounds = readAll(keys.rounds).sortedBy { it.revision }
         readMachines()
-        val learnedState = readAll(keys.learnedState).map { Records.parseLearnedState(it.data) }
+        val learnedState = readAll(keys.learnedState).map { LearnedStateCodec.decode(it.data) }
         return LeaderRecords(intents, rounds, learnedState)
     }
 
@@ -120,10 +123,10 @@
     private suspend fun readMachines() {
         var after: String? = null
         do {
-            val (page, hasNext) = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
-            scheduler.listed(page, hasNext, loop.nowMs())
-            after = page.lastOrNull()?.id
-        } while (hasNext && after != null)
+            val page = (services.cloud.list(after) as? CloudResult.Ok)?.value ?: return
+            scheduler.listed(page.machines, page.hasNext, loop.nowMs())
+            after = page.machines.lastOrNull()?.id
+        } while (page.hasNext && after != null)
     }
 
     /** Hands everything to the scheduler without suspending, so that no change comes in between. */
@@ -135,7 +138,7 @@
         replicator.listeners.add(listener)
         val jobs = replicator.live.values.filter { isScheduledHere(it.spec) }
         jobs.forEach { scheduler.jobChanged(it, nowMs) }
-        records.intents.forEach { scheduler.replay.intent(Records.parseIntent(it.key.removePrefix(keys.intents), it.data)) }
+        records.intents.forEach { scheduler.replay.intent(ScaleOutIntentCodec.decode(it.key.removePrefix(keys.intents), it.data)) }
         records.rounds.forEach { replayRound(it, nowMs) }
         records.learnedState.forEach { scheduler.replay.restore(it) }
         scheduler.replay.complete(nowMs)
@@ -148,7 +151,7 @@
     ) {
         var keep = false
         val record =
-            Records.parseRound(entry.data) { job ->
+            RoundCodec.decode(entry.data) { (job) ->
                 keep = true
                 Log.error("${entry.key}: what the round of revision ${entry.revision} records of ${job ?: "some job"} cannot be read; it is kept")
                 if (job == null) scheduler.replay.unreadableRound(nowMs) else scheduler.replay.unreadableJob(job)
--- a/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
+++ b/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
@@ -19,7 +19,7 @@
     fun hasHeardFrom(heartbeat: Heartbeat): Boolean = lastContactAtMs(heartbeat) > 0
 
     /** Whether the worker's last heartbeat was relayed by a peer. */
-    fun wasRelayed(heartbeat: Heartbeat): Boolean = cluster.machines[heartbeat.machine]?.relayed ?: false
+    fun wasRelayed(heartbeat: Heartbeat): Boolean = cluster.machines[heartbeat.machine]?.directRoute?.relayed ?: false
 
     /** A heartbeat has come straight from its worker: the route from its zone works. */
     fun directHeartbeat(heartbeat: Heartbeat) = directRouteRecovery.directHeartbeat(heartbeat.zone, loop.nowMs())
--- a/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
@@ -6,9 +6,10 @@
 import mintfield.core.model.AcceptedJob
 import mintfield.io.loop.Log
 import mintfield.io.store.Change
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.Keys
 import mintfield.io.store.Page
-import mintfield.io.store.Records
 
 /** Reads jobs from entries and changes of the state service. A record that cannot be read affects neither the others nor its own job's users. */
 internal class JobRecordReader(
@@ -42,7 +43,7 @@
         id: String,
         change: Change,
     ): JobChange? {
-        val state = change.data?.let { Records.parseFinal(it) } ?: return null
+        val state = change.data?.let { FinalStateCodec.decode(it).valueOrNull } ?: return null
         return JobChange.Ended(id, change.revision, state)
     }
 
@@ -64,7 +65,7 @@
         revision: Long,
     ): AcceptedJob? =
         try {
-            Records.parseLive(data, revision, recomputeCompatibleTypes)
+            JobRecordCodec.decode(data, revision, recomputeCompatibleTypes).valueOrNull
         } catch (e: RuntimeException) {
             Log.debug("$id: $e")
             null
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -6,8 +6,8 @@
 import mintfield.core.constants.StoreConstants
 import mintfield.core.jobs.JobReplica
 import mintfield.io.loop.Log
+import mintfield.io.store.FinalStateCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
@@ -41,7 +41,7 @@
     /** Reads the final state of the predecessor [id]; false without an answer. */
     private suspend fun resolve(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        val state = found.value?.let { Records.parseFinal(it.data) }
+        val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
         if (state != null) {
             replica.ended(id, state)
         } else if (id in replica.dependencies.unresolved) {
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -67,10 +67,10 @@
     }
 
     /** The fencing token of commands to [machine]: the leader's term, or the machine's ownership epoch if that is higher. */
-    fun token(machine: Machine): Long = maxOf(term, machine.epoch)
+    fun token(machine: Machine): Long = maxOf(term, machine.fencing.epoch)
 
     /** Whether [machine] has seen a token that only this leader has given it, so that nobody else has renewed its lease since. */
-    fun hasSeenOurToken(machine: Machine): Boolean = machine.termSeen >= maxOf(firstTerm, machine.epoch)
+    fun hasSeenOurToken(machine: Machine): Boolean = machine.termSeen >= maxOf(firstTerm, machine.fencing.epoch)
 
     /**
      * A number for the attempts of one round that no earlier round or leader has used. It counts as used only with [attemptUsed]:
--- a/src/main/kotlin/mintfield/core/HeartbeatService.kt
+++ b/src/main/kotlin/mintfield/core/HeartbeatService.kt
@@ -52,8 +52,7 @@
         val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
         if (!replay.isComplete) return answerDuringReplay(heartbeat, mayRenew, nowMs)
         val machine = knownMachine(heartbeat, nowMs) ?: return if (mayRenew) stopsOnly(heartbeat) else HeartbeatResponse.RenewalRefused
-        machine.relayed = relayed
-        machine.viaRelayPeer = viaRelayPeer
+        machine.directRoute.heartbeatCame(relayed, viaRelayPeer)
         recordBootTime(machine, heartbeat, nowMs)
         return answer(machine, heartbeat, mayAct, mayRenew, nowMs)
     }
@@ -64,7 +63,7 @@
         nowMs: Long,
     ): HeartbeatResponse {
         if (!mayRenew) return HeartbeatResponse.RenewalRefused
-        knownMachine(heartbeat, nowMs)?.leaseRenewedAtMs = nowMs
+        knownMachine(heartbeat, nowMs)?.lease?.renew(nowMs)
         if (renewedDuringReplay.add(heartbeat.machine)) lastFirstHeartbeatAtMs = nowMs
         return stopsOnly(heartbeat)
     }
@@ -78,7 +77,7 @@
     ): HeartbeatResponse {
         val isNewest = reconciler.take(machine, heartbeat, viaHeartbeat = true, nowMs)
         if (!mayRenew || (!mayAct && reconciler.mayStartCancelled(machine, heartbeat))) return HeartbeatResponse.RenewalRefused
-        machine.leaseRenewedAtMs = nowMs
+        machine.lease.renew(nowMs)
         if (!isNewest || !mayAct) return stopsOnly(heartbeat)
         return HeartbeatResponse.Commands(token(heartbeat), reconciler.commands(machine, viaHeartbeat = true, nowMs))
     }
@@ -102,9 +101,9 @@
         heartbeat: Heartbeat,
         nowMs: Long,
     ): Machine? {
-        val machine = fleet.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        val machine = fleet.registry.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
         if (machine == null || !machine.provisional) return machine
-        return fleet.redescribe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        return fleet.registry.redescribe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
     }
 
     private fun recordBootTime(
@@ -114,6 +113,6 @@
     ) {
         val isFirstHeartbeat = heartbeat.incarnation == 1L && heartbeat.termSeen == 0L
         if (machine.state != MachineState.PROVISIONING || !isFirstHeartbeat) return
-        fleet.bootTimes.cameUp(machine, nowMs - machine.firstSeenAtMs, nowMs)
+        fleet.bootTimes.cameUp(machine, nowMs - machine.origin.firstSeenAtMs, nowMs)
     }
 }
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -56,7 +56,7 @@
         for ((id, probes) in learnedState.suspectJobs) cluster.jobs[id]?.let { failureAttribution.restore(it, probes) }
         for ((id, images) in learnedState.machineImages) {
             val machine = cluster.machines[id] ?: continue
-            images.forEach { image -> learnedState.imageGb[image]?.let { machine.imageUsed(image, it) } }
+            images.forEach { image -> learnedState.imageGb[image]?.let { machine.images.markPresent(image, it) } }
         }
     }
 
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -31,11 +31,12 @@
 
     private fun current(): LearnedState {
         val imageGb = HashMap<String, Double>()
-        cluster.machines.values.forEach { imageGb.putAll(it.cachedImages) }
-        val machineImages =
-            cluster.machines.values
-                .filter { it.cachedImages.isNotEmpty() }
-                .associate { it.id to it.cachedImages.keys.toList() }
+        val machineImages = LinkedHashMap<String, List<String>>()
+        for (machine in cluster.machines.values) {
+            val cached = machine.images.cached
+            imageGb.putAll(cached)
+            if (cached.isNotEmpty()) machineImages[machine.id] = cached.keys.toList()
+        }
         val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.probes }
         return LearnedState(imageGb, machineImages, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
