--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -20,6 +20,7 @@
 import mintfield.io.loop.EventLoop
 import mintfield.io.worker.CommandCodec
 import mintfield.io.worker.HeartbeatReader
+import mintfield.io.worker.WorkerRedirectCodec
 
 /** Answers workers' heartbeats: by a leader in this process, by relaying them to one elsewhere, or by redirecting the worker. */
 class HeartbeatEndpoint(
@@ -171,7 +172,7 @@
     }
 
     /** Sends the worker to the controller [to], or if that is null to whichever comes next in its list. */
-    private fun redirect(to: String?) = Response(HttpStatus.MISDIRECTED_REQUEST, Json.obj { to?.let { writeStringField("steward", it) } })
+    private fun redirect(to: String?) = Response(HttpStatus.MISDIRECTED_REQUEST, WorkerRedirectCodec.encode(to))
 
     private fun unavailable() = Response(HttpStatus.SERVICE_UNAVAILABLE, Json.obj { })
 
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -16,7 +16,7 @@
 import mintfield.io.http.Response
 import mintfield.io.loop.EventLoop
 import mintfield.io.peer.RelayAnswer
-import mintfield.io.peer.RelayedReport
+import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
 
 /**
@@ -44,7 +44,7 @@
         body: ByteArray,
     ): RelayAnswer? {
         val client = clients[leader] ?: return null
-        val bytes = ProtoBuf.encodeToByteArray(RelayedReport.serializer(), RelayedReport(settings.member, body))
+        val bytes = ProtoBuf.encodeToByteArray(RelayedHeartbeat.serializer(), RelayedHeartbeat(settings.member, body))
         return passOn(leader, client, PeerPaths.HEARTBEAT, bytes, PeerConstants.RELAY_TIMEOUT_MS)
     }
 
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -9,7 +9,7 @@
 import mintfield.io.peer.PeerStatus
 import mintfield.io.peer.PeerStatusResponse
 import mintfield.io.peer.RelayAnswer
-import mintfield.io.peer.RelayedReport
+import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
 
 /** Serves the port for the other controllers: their status messages, relayed heartbeats and user requests, and foreign task queries. */
@@ -36,7 +36,7 @@
         handler.foreignTasksQueried(body)?.let { Response(HttpStatus.OK, it) } ?: Response.error(HttpStatus.CONFLICT, "not led here")
 
     private suspend fun heartbeat(body: ByteArray): Response {
-        val relayed = decodeOrNull(RelayedReport.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a report")
+        val relayed = decodeOrNull(RelayedHeartbeat.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a report")
         val answer = handler.relayedHeartbeat(relayed.body)
         return relayed(RelayAnswer(answer.status, answer.body))
     }
--- a/src/main/kotlin/mintfield/io/peer/RelayMessages.kt
+++ b/src/main/kotlin/mintfield/io/peer/RelayMessages.kt
@@ -9,7 +9,7 @@
 /** A worker's heartbeat that came to a controller which does not lead, relayed to the leader. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
-class RelayedReport(
+class RelayedHeartbeat(
     /** The name of the controller that relays it. */
     @ProtoNumber(1) val from: String,
     /** The body of the worker's request. */
