--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -53,7 +53,7 @@
         val guaranteed = HashSet<String>()
         val useByTeam = HashMap<String, QuotaUse>()
         for (job in readyJobs()) {
-            val team = cluster.team(job.spec.team) ?: continue
+            val team = cluster.quotas.team(job.spec.team) ?: continue
             if (job.cancelled || job.health == JobHealth.SUSPECT || (team.cpus <= 0 && team.gpus <= 0)) continue
             val use = useByTeam.getOrPut(job.spec.team) { QuotaUse() }
             use.cpus += job.spec.tasks * job.spec.cpus
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -50,7 +50,7 @@
         val overdue = cluster.jobs.values.filter { it.spec.shape == Shape.ARRAY && !it.cancelled && ageMs(it) > PlacementConstants.LONG_STARVATION_MS }
         if (overdue.isEmpty()) return
         var freeCpus = capacity * PlacementConstants.LONG_STARVATION_CPU_FRACTION - overdue.sumOf { it.activeAttempts.size * it.spec.cpus }
-        val order = compareBy<Job>({ cluster.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
+        val order = compareBy<Job>({ cluster.quotas.usage(it.spec.team).cpus }, { it.readySinceMs.toDouble() }).thenBy { it.spec.id }
         val eligible = waiting.toHashSet()
         for (job in overdue.filter { it in eligible }.sortedWith(order)) {
             val tasks = minOf(job.schedulableTasks, (freeCpus / maxOf(job.spec.cpus, MIN_TASK_CPUS)).toInt())
