--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -10,6 +10,7 @@
 import mintfield.core.fleet.MachineState
 import mintfield.core.fleet.ZoneFencing
 import mintfield.core.jobs.AttemptState
+import mintfield.core.jobs.CommandPlanner
 import mintfield.core.jobs.DirectCommands
 import mintfield.core.jobs.HeartbeatReconciler
 import mintfield.core.jobs.Job
@@ -63,14 +64,15 @@
 ) {
     val cluster = Cluster(settings, term, ownership, stateLimits, log)
     private val leaseRenewalLimit = LeaseRenewalLimit(settings)
-    internal val heartbeats = HeartbeatReconciler(cluster, ::isKnownAsCancelled, log)
+    internal val heartbeats = HeartbeatReconciler(cluster, log)
+    private val commandPlanner = CommandPlanner(cluster, ::isKnownAsCancelled)
     val fleet = FleetManager(cluster, log)
     val zoneFencing = ZoneFencing(cluster, log)
 
     private val planJournal = PlanJournal(cluster, fleet)
     private val commits =
         CommitPlanner(cluster, fleet, zoneFencing, planJournal, heartbeats.failureAttribution, InheritedUrgency(cluster, dependencies), ::jobRemoved, log)
-    private val direct = DirectCommands(cluster, heartbeats, log)
+    private val direct = DirectCommands(cluster, heartbeats, commandPlanner, log)
 
     /** Workers that were answered before the replay, and when the last of them came for the first time. */
     private val renewed = HashSet<String>()
@@ -239,11 +241,11 @@
         ) {
             fleet.bootTimes.cameUp(m, nowMs - m.firstSeenAtMs, nowMs)
         }
-        val fresh = heartbeats.take(m, heartbeat, viaHeartbeat = true, nowMs)
+        val fresh = heartbeats.reconcile(m, heartbeat, viaHeartbeat = true, nowMs)
         if (!mayRenew || (!mayAct && heartbeats.mayStartCancelled(m, heartbeat))) return HeartbeatResponse.RenewalRefused
         m.leaseRenewedAtMs = nowMs
         if (!fresh || !mayAct) return stops(heartbeat)
-        return HeartbeatResponse.Commands(token, heartbeats.commands(m, viaHeartbeat = true, nowMs))
+        return HeartbeatResponse.Commands(token, commandPlanner.commands(m, viaHeartbeat = true, nowMs))
     }
 
     /**
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -9,94 +9,127 @@
 import mintfield.core.model.Heartbeat
 import mintfield.core.model.WorkerCommand
 
-/** Starts that are sent straight to workers, so that a task need not wait for its machine's next heartbeat. */
+/**
+ * Decides on direct calls: starts that are sent straight to workers, so that a task need not wait for the next heartbeat of its
+ * machine, and probes of unreachable machines.
+ *
+ * Not thread-safe, like the [Cluster] that it works on.
+ */
 class DirectCommands(
     private val cluster: Cluster,
-    private val heartbeats: HeartbeatReconciler,
+    private val reconciler: HeartbeatReconciler,
+    private val commandPlanner: CommandPlanner,
     private val log: (String) -> Unit,
 ) {
-    /** Calls in a row, to whatever machines, that got no answer. */
+    /** Consecutive calls, to whatever machines, that got no response. */
     private var unanswered = 0
     private var pausedUntilMs = Machine.NEVER
 
-    /** Direct calls to make now: starts that were planned since the worker's last heartbeat. */
+    /** At most [most] calls to make now. Each is to be followed by one call of [answered] or [unanswered]. */
     fun calls(
         nowMs: Long,
         most: Int,
     ): List<DirectCall> {
         if (most <= 0 || nowMs < pausedUntilMs) return emptyList()
-        // While none gets through each further one would only be in doubt until the term has risen: one is enough to try.
-        val lost = unanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
-        if (lost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
+        // While no call gets through, each further one would only leave a start in doubt until the term has risen: one probe suffices.
+        val pathLost = unanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
+        if (pathLost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
+        val limit = if (pathLost) 1 else most
+        // A probe may take its whole timeout, and must not keep machines waiting that have something to start.
+        var probesLeft = if (most > cluster.bounds.directCalls / 2) MAX_CONCURRENT_PROBES else 0
         val calls = ArrayList<DirectCall>()
-        var probes = 0
-        for (m in cluster.machines.values) {
-            if (calls.size >= if (lost) 1 else most) break
-            if (m.state != MachineState.UP || m.directInFlight || nowMs < m.directPausedUntilMs || (m.relayed && !m.viaRelayPeer)) continue
-            if (nowMs - m.lastHeartbeatAtMs > cluster.timings.heartbeatTimeoutMs ||
-                m.unacknowledgedTerm >= cluster.token(m) ||
-                !cluster.ownership.mayStart(m.id)
-            ) {
-                continue
-            }
-            if (m.reachability.state == ReachabilityState.UNREACHABLE) {
-                // Each may take its whole time-out; those that have something to start must not wait behind them.
-                if (++probes <= PROBES_AT_ONCE && most > cluster.bounds.directCalls / 2) probe(m, nowMs)?.let { calls.add(it) }
-                continue
-            }
-            if (m.count(AttemptState.PLANNED) == 0 || m.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) continue
-            val address = m.address ?: continue
-            val commands = heartbeats.commands(m, viaHeartbeat = false, nowMs)
-            if (commands.none { it is WorkerCommand.Start }) continue
-            m.directInFlight = true
-            calls.add(DirectCall(m.id, address, cluster.token(m), m.incarnation, commands))
+        for (machine in cluster.machines.values) {
+            if (calls.size >= limit) break
+            if (!mayCall(machine, nowMs)) continue
+            val call =
+                when {
+                    machine.reachability.state != ReachabilityState.UNREACHABLE -> startCall(machine, nowMs)
+                    probesLeft-- > 0 -> probe(machine, nowMs)
+                    else -> null
+                }
+            if (call != null) calls.add(call)
         }
         return calls
     }
 
-    /** A call without orders, to see whether a unreachable machine hears again. As it starts nothing, it need not be fenced. */
+    private fun mayCall(
+        machine: Machine,
+        nowMs: Long,
+    ): Boolean =
+        machine.state == MachineState.UP &&
+            !isCallPending(machine, nowMs) &&
+            isDirectRouteLikely(machine, nowMs) &&
+            machine.unacknowledgedTerm < cluster.token(machine) &&
+            cluster.ownership.mayStart(machine.id)
+
+    private fun isCallPending(
+        machine: Machine,
+        nowMs: Long,
+    ): Boolean = machine.directInFlight || nowMs < machine.directPausedUntilMs
+
+    private fun isDirectRouteLikely(
+        machine: Machine,
+        nowMs: Long,
+    ): Boolean = (!machine.relayed || machine.viaRelayPeer) && nowMs - machine.lastHeartbeatAtMs <= cluster.timings.heartbeatTimeoutMs
+
+    /** A call with the starts planned since the worker's last heartbeat, and the stops that make room for them; null without starts. */
+    private fun startCall(
+        machine: Machine,
+        nowMs: Long,
+    ): DirectCall? {
+        if (machine.count(AttemptState.PLANNED) == 0) return null
+        if (machine.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) return null
+        val address = machine.address ?: return null
+        val commands = commandPlanner.commands(machine, viaHeartbeat = false, nowMs)
+        if (commands.none { it is WorkerCommand.Start }) return null
+        machine.directInFlight = true
+        return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, commands)
+    }
+
+    /** A call without commands, to find out whether an unreachable machine can be reached again. As it starts nothing, it needs no fencing. */
     private fun probe(
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
     ): DirectCall? {
-        val address = m.address ?: return null
-        m.directInFlight = true
-        m.directPausedUntilMs = nowMs + WorkerConstants.UNREACHABLE_PROBE_MS
-        return DirectCall(m.id, address, cluster.token(m), m.incarnation, emptyList())
+        val address = machine.address ?: return null
+        machine.directInFlight = true
+        machine.directPausedUntilMs = nowMs + WorkerConstants.UNREACHABLE_PROBE_MS
+        return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, emptyList())
     }
 
+    /** The worker has responded to [call], with its [heartbeat] if the response could be read. */
     fun answered(
         call: DirectCall,
         heartbeat: Heartbeat?,
         nowMs: Long,
     ) {
-        val m = cluster.machines[call.machine] ?: return
-        m.directInFlight = false
+        val machine = cluster.machines[call.machine] ?: return
+        machine.directInFlight = false
         unanswered = 0
-        if (heartbeat != null && heartbeat.machine == m.id) heartbeats.take(m, heartbeat, viaHeartbeat = false, nowMs)
+        if (heartbeat != null && heartbeat.machine == machine.id) reconciler.reconcile(machine, heartbeat, viaHeartbeat = false, nowMs)
     }
 
+    /** There was no response to [call]. [sent]: it may have left this controller, and may yet be carried out. */
     fun unanswered(
         call: DirectCall,
         sent: Boolean,
         nowMs: Long,
     ) {
-        val m = cluster.machines[call.machine] ?: return
-        m.directInFlight = false
+        val machine = cluster.machines[call.machine] ?: return
+        machine.directInFlight = false
         if (call.commands.isEmpty()) return
-        if (++unanswered ==
-            WorkerConstants.DIRECT_PATH_LOST_AFTER
-        ) {
+        unanswered++
+        if (unanswered == WorkerConstants.DIRECT_PATH_LOST_AFTER) {
             log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
         }
-        m.directPausedUntilMs = nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS
+        machine.directPausedUntilMs = nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
-        if (sent) m.unacknowledgedTerm = maxOf(m.unacknowledgedTerm, call.term)
-        log("no answer from ${m.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
+        if (sent) machine.unacknowledgedTerm = maxOf(machine.unacknowledgedTerm, call.term)
+        log("no answer from ${machine.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
     }
 
     private companion object {
-        /** Deaf machines that are asked in one go. */
-        const val PROBES_AT_ONCE = 2
+        /** Unreachable machines that are probed at once. */
+        const val MAX_CONCURRENT_PROBES = 2
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -2,7 +2,6 @@
 
 import mintfield.core.Cluster
 import mintfield.core.constants.PlacementConstants
-import mintfield.core.constants.ShardingConstants
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.fleet.ForeignTask
 import mintfield.core.fleet.Machine
@@ -14,309 +13,286 @@
 import mintfield.core.model.TaskId
 import mintfield.core.model.TaskState
 import mintfield.core.model.TaskStatus
-import mintfield.core.model.WorkerCommand
 
-/** Brings what workers report together with what is planned, and says what to order in return. */
+/**
+ * Reconciles the plan with what workers report: moves attempts to the states that heartbeats show, records results, and releases
+ * attempts that are proven to be gone. What is to be commanded in response is up to [CommandPlanner].
+ *
+ * Not thread-safe, like the [Cluster] that it changes.
+ */
 class HeartbeatReconciler(
     private val cluster: Cluster,
-    /** Whether users were told that a job is cancelled, whoever schedules it. */
-    private val cancelled: (String) -> Boolean = { false },
     private val log: (String) -> Unit,
 ) {
+    /** Told of each success and failure. */
     val failureAttribution = FailureAttribution(cluster, log)
 
     /**
-     * Takes in [heartbeat]. [viaHeartbeat] tells a worker's own heartbeat from the answer to a direct command: only the former
-     * proves that the starts in the answer to the one before were either carried out or dropped.
+     * Takes in [heartbeat], received at [nowMs] (steady milliseconds). False if it is not newer than what is known of [machine]; then
+     * nothing changes.
+     *
+     * [viaHeartbeat] tells a worker's own heartbeat from the response to a direct command: only a heartbeat proves that the starts in
+     * the response to the one before it were either carried out or dropped.
      */
-    fun take(
-        m: Machine,
+    fun reconcile(
+        machine: Machine,
         heartbeat: Heartbeat,
         viaHeartbeat: Boolean,
         nowMs: Long,
     ): Boolean {
-        if (heartbeat.incarnation < m.incarnation || (heartbeat.incarnation == m.incarnation && heartbeat.sequence <= m.sequence)) return false
-        if (viaHeartbeat) {
-            m.lastHeartbeatAtMs = nowMs
-            val leaseMs = (cluster.settings.leaseS * 1000).toLong()
-            if (m.reachability.onHeartbeat(m, heartbeat, leaseMs, nowMs)) reachabilityChanged(m, nowMs)
-        } else if (m.reachability.confirmDelivery(nowMs)) {
-            reachabilityChanged(m, nowMs)
-        }
-        if (heartbeat.incarnation > m.incarnation) startIncarnation(m, heartbeat, nowMs)
-        m.sequence = heartbeat.sequence
-        m.termSeen = maxOf(m.termSeen, heartbeat.termSeen)
-        m.address = heartbeat.address
-        m.lastContactAtMs = nowMs
-        val same = m.reconciled && heartbeat.tasks === m.lastHeartbeat?.tasks
-        m.lastHeartbeat = heartbeat
-        updateForeignTasks(m, heartbeat)
-        m.terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * 1000).toLong() }
-        if (m.state == MachineState.PROVISIONING || m.state == MachineState.UNRESPONSIVE) m.moveTo(MachineState.UP, nowMs)
-        if (same) return true
-        m.reconciled = false
-        val seen = HashMap<TaskId, TaskStatus>(heartbeat.tasks.size * 2)
-        heartbeat.tasks.forEach { seen[it.task] = it }
-        val trusted = trusted(m, heartbeat)
-        for (a in m.attempts.toList()) {
-            val t = seen[cluster.taskId(a)]
-            if (t != null && t.attempt == a.number) present(a, t, nowMs) else absent(a, viaHeartbeat, trusted, nowMs)
-        }
-        for (t in heartbeat.tasks) {
-            if (t.state == TaskState.ENDED && t.cause == ExitReason.DONE) completedElsewhere(t, nowMs)
-        }
+        if (!isNewer(machine, heartbeat)) return false
+        updateReachability(machine, heartbeat, viaHeartbeat, nowMs)
+        if (heartbeat.incarnation > machine.incarnation) startIncarnation(machine, heartbeat, nowMs)
+        // Decoders keep a list of tasks that has not changed, so that the same list need not be reconciled twice.
+        val unchanged = machine.reconciled && heartbeat.tasks === machine.lastHeartbeat?.tasks
+        update(machine, heartbeat, nowMs)
+        if (unchanged) return true
+        machine.reconciled = false
+        reconcileTasks(machine, heartbeat, viaHeartbeat, nowMs)
         return true
     }
 
-    private fun updateForeignTasks(
-        m: Machine,
+    /** Heartbeats of a machine are ordered by incarnation and sequence; a late copy is older than what came before it. */
+    private fun isNewer(
+        machine: Machine,
         heartbeat: Heartbeat,
-    ) = m.foreignTasks.replace(
-        heartbeat.tasks.mapNotNull { t ->
-            if (t.task.job in cluster.jobs) return@mapNotNull null
-            cluster.ownership.foreignSpec(t.task.job)?.let { ForeignTask(it, t) }
-        },
-    )
+    ): Boolean =
+        if (heartbeat.incarnation == machine.incarnation) {
+            heartbeat.sequence > machine.sequence
+        } else {
+            heartbeat.incarnation > machine.incarnation
+        }
 
-    /**
-     * The owner of [a]'s machine, another share's leader, has told what a heartbeat of the worker shows of it: [t], or nothing if it is
-     * not there. The worker has then seen the owner's token, so no start from here can be carried out there any more.
-     */
-    fun statusFromOwner(
-        a: Attempt,
-        t: TaskStatus?,
+    private fun updateReachability(
+        machine: Machine,
+        heartbeat: Heartbeat,
+        viaHeartbeat: Boolean,
         nowMs: Long,
-    ) = if (t == null) cluster.release(a, nowMs, "absent, by the machine's owner") else present(a, t, nowMs)
+    ) {
+        val changed =
+            if (viaHeartbeat) {
+                machine.lastHeartbeatAtMs = nowMs
+                val leaseMs = (cluster.settings.leaseS * MS_PER_S).toLong()
+                machine.reachability.onHeartbeat(machine, heartbeat, leaseMs, nowMs)
+            } else {
+                machine.reachability.confirmDelivery(nowMs)
+            }
+        if (changed) reachabilityChanged(machine, nowMs)
+    }
 
     private fun reachabilityChanged(
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
     ) {
-        val h = m.reachability
-        if (h.state ==
-            ReachabilityState.UNREACHABLE
-        ) {
-            log("${m.id}: unreachable: its heartbeats arrive but responses to it are lost; no new tasks are placed there")
+        val reachability = machine.reachability
+        if (reachability.state == ReachabilityState.UNREACHABLE) {
+            log("${machine.id}: unreachable: its heartbeats arrive but responses to it are lost; no new tasks are placed there")
         }
-        if (h.state == ReachabilityState.REACHABLE && h.episodes > 0) {
-            val pause = WorkerConstants.REACHABLE_BACKOFF_MS shl minOf(h.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
-            m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + pause)
-            log("${m.id}: reachable again, new tasks in $pause ms")
+        if (reachability.state == ReachabilityState.REACHABLE && reachability.episodes > 0) {
+            val doublings = minOf(reachability.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
+            val backoffMs = WorkerConstants.REACHABLE_BACKOFF_MS shl doublings
+            machine.backoffUntilMs = maxOf(machine.backoffUntilMs, nowMs + backoffMs)
+            log("${machine.id}: reachable again, new tasks in $backoffMs ms")
         }
     }
 
-    /** Whether no earlier start can be carried out any more after what [heartbeat] shows. */
-    private fun trusted(
-        m: Machine,
+    /** The worker's lease has expired, and with it everything on the machine is gone. */
+    private fun startIncarnation(
+        machine: Machine,
         heartbeat: Heartbeat,
-    ) = heartbeat.termSeen > m.unacknowledgedTerm && !m.directInFlight
+        nowMs: Long,
+    ) {
+        val incarnation = heartbeat.incarnation
+        machine.attempts
+            .filter { it.incarnation < incarnation }
+            .forEach { cluster.release(it, nowMs, "incarnation $incarnation started") }
+        if (machine.incarnation != 0L) log("${machine.id}: lease expired, incarnation $incarnation started, its tasks are lost")
+        machine.incarnation = incarnation
+        // The new lease began with the incarnation. By the last response alone it would be taken for expired too early.
+        machine.leaseRenewedAtMs = maxOf(machine.leaseRenewedAtMs, nowMs)
+        machine.sequence = 0
+    }
 
-    /**
-     * Whether a start of a cancelled job that got no answer may yet be carried out there. Only a higher term rules that out,
-     * which a leader past its lease cannot have.
-     */
-    fun mayStartCancelled(
-        m: Machine,
+    private fun update(
+        machine: Machine,
         heartbeat: Heartbeat,
-    ): Boolean = !trusted(m, heartbeat) && m.attempts.any { a -> a.job.cancelled && heartbeat.tasks.none { it.task == cluster.taskId(a) } }
+        nowMs: Long,
+    ) {
+        machine.sequence = heartbeat.sequence
+        machine.termSeen = maxOf(machine.termSeen, heartbeat.termSeen)
+        machine.address = heartbeat.address
+        machine.lastContactAtMs = nowMs
+        machine.lastHeartbeat = heartbeat
+        machine.foreignTasks.replace(foreignTasks(heartbeat))
+        machine.terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * MS_PER_S).toLong() }
+        if (machine.state == MachineState.PROVISIONING || machine.state == MachineState.UNRESPONSIVE) machine.moveTo(MachineState.UP, nowMs)
+    }
 
-    private fun startIncarnation(
-        m: Machine,
+    private fun foreignTasks(heartbeat: Heartbeat): List<ForeignTask> =
+        heartbeat.tasks.mapNotNull { status ->
+            if (status.task.job in cluster.jobs) return@mapNotNull null
+            cluster.ownership.foreignSpec(status.task.job)?.let { ForeignTask(it, status) }
+        }
+
+    private fun reconcileTasks(
+        machine: Machine,
         heartbeat: Heartbeat,
+        viaHeartbeat: Boolean,
         nowMs: Long,
     ) {
-        m.attempts.filter { it.incarnation < heartbeat.incarnation }.forEach { cluster.release(it, nowMs, "incarnation ${heartbeat.incarnation} started") }
-        if (m.incarnation != 0L) log("${m.id}: lease expired, incarnation ${heartbeat.incarnation} started, its tasks are lost")
-        m.incarnation = heartbeat.incarnation
-        // Its lease began with the incarnation. Counted from the last answer alone, what is started in it would be taken for ended.
-        m.leaseRenewedAtMs = maxOf(m.leaseRenewedAtMs, nowMs)
-        m.sequence = 0
+        val reported = HashMap<TaskId, TaskStatus>(heartbeat.tasks.size * 2)
+        heartbeat.tasks.forEach { reported[it.task] = it }
+        val provesAbsence = heartbeat.provesAbsence(machine)
+        for (attempt in machine.attempts.toList()) {
+            val status = reported[cluster.taskId(attempt)]
+            if (status != null && status.attempt == attempt.number) {
+                present(attempt, status, nowMs)
+            } else if (viaHeartbeat) {
+                absent(attempt, provesAbsence, nowMs)
+            }
+        }
+        for (status in heartbeat.tasks) {
+            if (status.state == TaskState.ENDED && status.cause == ExitReason.DONE) completed(status, nowMs)
+        }
     }
 
-    private fun present(
-        a: Attempt,
-        t: TaskStatus,
+    /**
+     * The leader of another shard, which owns the machine of [attempt], has told what a heartbeat shows of the attempt: [status], or
+     * null if it is absent. That worker has seen the owner's token, so that no start of this leader can be carried out there any more.
+     */
+    fun statusFromOwner(
+        attempt: Attempt,
+        status: TaskStatus?,
         nowMs: Long,
     ) {
-        a.startSent = true
-        val spec = a.job.spec
-        when (t.state) {
-            TaskState.PULLING -> {
-                if (a.state != AttemptState.STOPPING) a.moveTo(AttemptState.PULLING, nowMs)
-            }
+        if (status == null) {
+            cluster.release(attempt, nowMs, "absent, by the machine's owner")
+        } else {
+            present(attempt, status, nowMs)
+        }
+    }
 
-            TaskState.RUNNING, TaskState.CHECKPOINTING -> {
-                if (a.state == AttemptState.PULLING && spec.shape == Shape.SERVICE) {
-                    log("${spec.id}/${a.index} runs on ${a.machine.id} after ${nowMs - a.changedAtMs} ms for its image")
-                }
-                a.machine.imageUsed(spec.image, spec.imageGb)
-                if (a.state == AttemptState.PLANNING) return
-                if (a.state != AttemptState.STOPPING && a.state != AttemptState.RUNNING) {
-                    a.moveTo(AttemptState.RUNNING, nowMs)
-                    a.job.lastRunAtMs = nowMs
-                }
-            }
+    /**
+     * Whether a start of a cancelled job that got no response may still be carried out on [machine]. Only a higher term rules that
+     * out, which a leader past its lease cannot get.
+     */
+    fun mayStartCancelled(
+        machine: Machine,
+        heartbeat: Heartbeat,
+    ): Boolean {
+        if (heartbeat.provesAbsence(machine)) return false
+        return machine.attempts.any { attempt -> attempt.job.cancelled && heartbeat.tasks.none { it.task == cluster.taskId(attempt) } }
+    }
 
-            TaskState.ENDED -> {
-                ended(a, t.cause ?: ExitReason.UNKNOWN, nowMs)
+    private fun present(
+        attempt: Attempt,
+        status: TaskStatus,
+        nowMs: Long,
+    ) {
+        attempt.startSent = true
+        when (status.state) {
+            TaskState.PULLING -> if (attempt.state != AttemptState.STOPPING) attempt.moveTo(AttemptState.PULLING, nowMs)
+            TaskState.RUNNING, TaskState.CHECKPOINTING -> running(attempt, nowMs)
+            TaskState.ENDED -> ended(attempt, status.cause ?: ExitReason.UNKNOWN, nowMs)
+        }
+    }
+
+    private fun running(
+        attempt: Attempt,
+        nowMs: Long,
+    ) {
+        val spec = attempt.job.spec
+        if (attempt.state == AttemptState.PULLING && spec.shape == Shape.SERVICE) {
+            log("${spec.id}/${attempt.index} runs on ${attempt.machine.id} after ${nowMs - attempt.changedAtMs} ms for its image")
+        }
+        attempt.machine.imageUsed(spec.image, spec.imageGb)
+        when (attempt.state) {
+            AttemptState.PLANNING, AttemptState.STOPPING, AttemptState.RUNNING -> return
+            else -> {
+                attempt.moveTo(AttemptState.RUNNING, nowMs)
+                attempt.job.lastRunAtMs = nowMs
             }
         }
     }
 
     private fun ended(
-        a: Attempt,
+        attempt: Attempt,
         cause: ExitReason,
         nowMs: Long,
     ) {
-        val job = a.job
-        val m = a.machine
         when (cause) {
-            ExitReason.DONE -> {
-                m.imageUsed(job.spec.image, job.spec.imageGb)
-                failureAttribution.succeeded(job, m, nowMs)
-                if (a.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - a.changedAtMs) / 1000.0)
-                cluster.markDone(job, a.index, nowMs)
-                cluster.release(a, nowMs, Cluster.DONE)
-            }
+            ExitReason.DONE -> succeeded(attempt, nowMs)
+            ExitReason.STOPPED -> cluster.release(attempt, nowMs, "stopped")
+            ExitReason.GANG_INCOMPLETE -> cluster.release(attempt, nowMs, "others of its gang are missing")
+            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> refused(attempt, cause, nowMs)
+            ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> failed(attempt, cause, nowMs)
+        }
+    }
 
-            ExitReason.STOPPED, ExitReason.GANG_INCOMPLETE -> {
-                cluster.release(a, nowMs, if (cause == ExitReason.GANG_INCOMPLETE) "others of its gang are missing" else "stopped")
-            }
+    private fun succeeded(
+        attempt: Attempt,
+        nowMs: Long,
+    ) {
+        val job = attempt.job
+        attempt.machine.imageUsed(job.spec.image, job.spec.imageGb)
+        failureAttribution.succeeded(job, attempt.machine, nowMs)
+        if (attempt.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - attempt.changedAtMs) / MS_PER_S)
+        cluster.markDone(job, attempt.index, nowMs)
+        cluster.release(attempt, nowMs, Cluster.DONE)
+    }
 
-            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> {
-                cluster.release(a, nowMs, "refused: $cause")
-                m.backoffUntilMs = maxOf(m.backoffUntilMs, nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
-            }
+    private fun refused(
+        attempt: Attempt,
+        cause: ExitReason,
+        nowMs: Long,
+    ) {
+        val machine = attempt.machine
+        cluster.release(attempt, nowMs, "refused: $cause")
+        machine.backoffUntilMs = maxOf(machine.backoffUntilMs, nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
+    }
 
-            ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> {
-                val afterMs = if (a.state == AttemptState.RUNNING) nowMs - a.changedAtMs else 0L
-                cluster.release(a, nowMs, "failed: $cause after $afterMs ms")
-                failureAttribution.failed(job, m, afterMs, nowMs)
-            }
-        }
+    private fun failed(
+        attempt: Attempt,
+        cause: ExitReason,
+        nowMs: Long,
+    ) {
+        val ranMs = if (attempt.state == AttemptState.RUNNING) nowMs - attempt.changedAtMs else 0L
+        cluster.release(attempt, nowMs, "failed: $cause after $ranMs ms")
+        failureAttribution.failed(attempt.job, attempt.machine, ranMs, nowMs)
     }
 
+    /** A heartbeat lacks [attempt]. One that was never seen may be on its way; one that was seen is gone, if that is proven. */
     private fun absent(
-        a: Attempt,
-        viaHeartbeat: Boolean,
-        trusted: Boolean,
+        attempt: Attempt,
+        provesAbsence: Boolean,
         nowMs: Long,
     ) {
-        val gone =
-            when (a.state) {
+        val proof =
+            when (attempt.state) {
                 AttemptState.PULLING, AttemptState.RUNNING -> "vanished"
                 AttemptState.STOPPING -> "absent"
                 else -> return
             }
-        if (!viaHeartbeat) return
-        if (trusted) {
-            cluster.release(a, nowMs, gone)
-        } else if (a.machine.unacknowledgedTerm >= cluster.token(a.machine)) {
+        if (provesAbsence) {
+            cluster.release(attempt, nowMs, proof)
+        } else if (attempt.machine.unacknowledgedTerm >= cluster.token(attempt.machine)) {
             cluster.raiseWanted = true
         }
     }
 
-    /** A result counts wherever it was reached, also if the attempt is not ours any more. */
-    private fun completedElsewhere(
-        t: TaskStatus,
+    /** A result counts whichever attempt reached it, also one that is not planned any more. */
+    private fun completed(
+        status: TaskStatus,
         nowMs: Long,
     ) {
-        val job = cluster.jobs[t.task.job] ?: return
-        if (t.task.index >= job.spec.tasks || job.done.get(t.task.index)) return
-        cluster.markDone(job, t.task.index, nowMs)
-        job.attempt(t.task.index)?.let { cluster.stop(it, nowMs, "done elsewhere") }
+        val job = cluster.jobs[status.task.job] ?: return
+        val index = status.task.index
+        if (index >= job.spec.tasks || job.done.get(index)) return
+        cluster.markDone(job, index, nowMs)
+        job.attempt(index)?.let { cluster.stop(it, nowMs, "done elsewhere") }
     }
 
-    /** Orders for [m] after its last heartbeat: stops first, then clears, then starts, so that there is room for them. */
-    fun commands(
-        m: Machine,
-        viaHeartbeat: Boolean,
-        nowMs: Long,
-    ): List<WorkerCommand> {
-        val heartbeat = m.lastHeartbeat ?: return emptyList()
-        if (m.reconciled) {
-            if (viaHeartbeat) m.reachability.recordAnswer(cluster.token(m), emptyList())
-            return emptyList()
-        }
-        val stops = ArrayList<WorkerCommand>()
-        val acknowledgements = ArrayList<WorkerCommand>()
-        val seen = HashSet<TaskId>(heartbeat.tasks.size * 2)
-        val trusted = trusted(m, heartbeat)
-        for (t in heartbeat.tasks) {
-            val job = cluster.jobs[t.task.job]
-            val a = job?.attempt(t.task.index)?.takeIf { it.machine === m && it.number == t.attempt }
-            val foreign = if (a == null) m.foreignTasks[t.task] else null
-            if (foreign != null) {
-                seen.add(t.task)
-                when {
-                    foreign.ended -> if (viaHeartbeat && foreign.acknowledgeWanted) acknowledgements.add(WorkerCommand.Acknowledge(t.task, t.attempt))
-                    foreign.stopWanted || cancelled(t.task.job) -> {
-                        if (foreign.stopSentAtMs == 0L) foreign.stopSentAtMs = nowMs
-                        stops.add(WorkerCommand.Stop(t.task, t.attempt, 0.0))
-                    }
-                }
-                continue
-            }
-            if (a == null && job == null && nowMs - m.adoptedAtMs < ShardingConstants.FOREIGN_TASK_GRACE_MS) continue
-            if (a != null) seen.add(t.task)
-            if (t.state == TaskState.ENDED) {
-                if (viaHeartbeat && a == null && mayAcknowledge(t, job)) {
-                    if (trusted) {
-                        acknowledgements.add(WorkerCommand.Acknowledge(t.task, t.attempt))
-                    } else if (m.unacknowledgedTerm >= cluster.token(m)) {
-                        cluster.raiseWanted = true
-                    }
-                }
-            } else if (a == null || a.state == AttemptState.STOPPING) {
-                stops.add(WorkerCommand.Stop(t.task, t.attempt, grace(a, m, nowMs)))
-            }
-        }
-        val starts = ArrayList<WorkerCommand>()
-        val startedAttempts = ArrayList<Attempt>()
-        val mayStart = cluster.ownership.mayStart(m.id)
-        for (a in m.attempts) {
-            val id = cluster.taskId(a)
-            if (!mayStart || id in seen || a.job.cancelled || a.incarnation != m.incarnation) continue
-            val due = a.state == AttemptState.PLANNED || (viaHeartbeat && a.state == AttemptState.STARTING)
-            if (!due) continue
-            starts.add(WorkerCommand.Start(id, a.number))
-            startedAttempts.add(a)
-            a.startSent = true
-            if (a.state == AttemptState.PLANNED) a.moveTo(AttemptState.STARTING, nowMs)
-        }
-        if (viaHeartbeat) m.reachability.recordAnswer(cluster.token(m), startedAttempts)
-        if (stops.isEmpty() && acknowledgements.isEmpty() && starts.isEmpty()) {
-            m.reconciled =
-                m.foreignTasks.isEmpty &&
-                seen.size == m.attempts.size &&
-                seen.size == heartbeat.tasks.size &&
-                heartbeat.tasks.none { it.state == TaskState.ENDED }
-            return emptyList()
-        }
-        return (stops + acknowledgements + starts).take(MAX_COMMANDS)
-    }
-
-    private fun grace(
-        a: Attempt?,
-        m: Machine,
-        nowMs: Long,
-    ): Double {
-        val spec = a?.job?.spec ?: return 0.0
-        if (a.job.cancelled || spec.checkpointS <= 0) return 0.0
-        if (nowMs - a.changedAtMs > spec.saveS * 2000 + GRACE_SLACK_MS) return 0.0
-        return if (m.terminationAtMs == null) spec.saveS * 2 else spec.saveS
-    }
-
-    /** A done task may leave the worker's reports only when its result is in the store. */
-    private fun mayAcknowledge(
-        t: TaskStatus,
-        job: Job?,
-    ): Boolean = job == null || job.cancelled || t.cause != ExitReason.DONE || job.doneWritten.get(t.task.index)
-
     private companion object {
-        /** Orders in one answer; keeps the line within the protocol's 64 KiB. */
-        const val MAX_COMMANDS = 500
-
-        const val GRACE_SLACK_MS = 3_000L
+        const val MS_PER_S = 1000.0
     }
 }
