--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -112,7 +112,7 @@
         incarnation: Long,
     ): Attempt {
         val a = Attempt(job, index, number, machine, incarnation)
-        job.put(a)
+        job.progress.add(a)
         machine.occupy(a)
         val used = usage(job.spec.team)
         used.cpus += job.spec.cpus
@@ -129,12 +129,13 @@
         if (!a.live) return
         a.moveTo(AttemptState.RELEASED, nowMs)
         a.machine.vacate(a)
-        a.job.remove(a)
+        a.job.progress.remove(a)
         val used = usage(a.job.spec.team)
         used.cpus = maxOf(0.0, used.cpus - a.job.spec.cpus)
         used.gpus = maxOf(0.0, used.gpus - a.job.spec.gpus)
         // The record still names the old place. Left so, a successor would wait for proof from a machine long gone.
-        if (a.job.unwrittenSinceMs == 0L) a.job.unwrittenSinceMs = nowMs
+        a.job.progress.unwritten
+            .waitSince(nowMs)
         if (proof != DONE &&
             proof != DESCRIBED_ANEW &&
             proof != NEVER_SENT
@@ -161,8 +162,8 @@
         index: Int,
         nowMs: Long,
     ) {
-        if (!job.setDone(index)) return
-        if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+        if (!job.progress.setDone(index)) return
+        job.progress.unwritten.waitSince(nowMs)
     }
 
     fun taskId(a: Attempt) = TaskId(a.job.spec.id, a.index)
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -170,7 +170,7 @@
             CommitResult.Unknown -> {
                 planJournal.putBack(commit.writes, nowMs)
                 // It may be there all the same; its key must go in the end, whether or not it is.
-                commit.writes.forEach { if (it is Write.RecordRound) planJournal.obsoleteRounds.add(it.key) }
+                commit.writes.forEach { if (it is Write.RecordRound) planJournal.deleteLater(it.key) }
                 raiseNow = true
             }
         }
@@ -185,7 +185,7 @@
         // The view may have told of the change before the answer came; then nothing else will.
         if (job.revision != guardedRevision) return
         job.activeAttempts.filter { it.state == AttemptState.PLANNING }.forEach { cluster.stop(it, nowMs, "the job changed") }
-        job.finishing = true
+        job.finish()
     }
 
     private fun written(
@@ -195,7 +195,7 @@
     ) {
         when (write) {
             is Write.RecordRound -> planJournal.written(write, revision, nowMs)
-            is Write.DeleteRound -> planJournal.obsoleteRounds.remove(write.key)
+            is Write.DeleteRound -> planJournal.deleted(write.key)
             is Write.FinishJob -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
                 log("${write.job.id}: cancelled with a predecessor")
@@ -221,7 +221,7 @@
         job: Job,
         nowMs: Long,
     ) {
-        job.finishing = true
+        job.finish()
         val places = seconds(job.lastPlanAtMs - job.firstSeenAtMs)
         val images = seconds(maxOf(0, job.lastRunAtMs - job.lastPlanAtMs))
         val run = seconds(nowMs - maxOf(job.lastRunAtMs, job.lastPlanAtMs))
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -35,7 +35,7 @@
             cluster.machines.values
                 .filter { it.cachedImages.isNotEmpty() }
                 .associate { it.id to it.cachedImages.keys.toList() }
-        val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.probes }
+        val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.failureRecord.probes }
         return LearnedState(sizes, images, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
 
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -139,10 +139,9 @@
         cluster.replayedAtMs = nowMs
         // What was replayed is written already.
         for (job in cluster.jobs.values) {
-            job.changed.clear()
-            job.unwrittenSinceMs = 0
+            job.progress.unwritten.clear()
         }
-        cancelledBeforeReplay.forEach { id -> cluster.jobs[id]?.cancelled = true }
+        cancelledBeforeReplay.forEach { id -> cluster.jobs[id]?.cancel() }
         for (job in cluster.jobs.values) if (job.cancelled) job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "cancelled", quietly = true) }
     }
 
@@ -158,9 +157,7 @@
             return
         }
         if (accepted.revision <= job.revision) return
-        job.revision = accepted.revision
-        job.finishing = false
-        job.cancellationRecorded = accepted.cancelled
+        job.recordChanged(accepted)
         if (accepted.cancelled && !job.cancelled) cancel(job, nowMs)
     }
 
@@ -202,9 +199,7 @@
         val job = cluster.jobs.remove(id) ?: return
         cluster.unprovenJobs.remove(job)
         cluster.cancelledByDependency.remove(job)
-        job.coveringRounds.keys
-            .toList()
-            .forEach { planJournal.superseded(job, it, Long.MAX_VALUE) }
+        planJournal.jobRemoved(job)
         // A line for each would fill the log of a leader that comes back and finds everything ended.
         if (job.activeAttempts.isNotEmpty()) log("$id: gone from the store, ${job.activeAttempts.size} tasks are left to their workers' heartbeats")
         for (a in job.activeAttempts.toList()) cluster.release(a, nowMs, Cluster.DESCRIBED_ANEW)
@@ -275,7 +270,7 @@
         job: Job,
         nowMs: Long,
     ) {
-        job.cancelled = true
+        job.cancel()
         log("${job.id}: cancelled, ${job.activeAttempts.size} tasks to stop")
         job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "cancelled", quietly = true) }
     }
--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -155,7 +155,7 @@
     private fun mayAcknowledge(
         job: Job?,
         status: TaskStatus,
-    ): Boolean = job == null || job.cancelled || status.cause != ExitReason.DONE || job.doneWritten.get(status.task.index)
+    ): Boolean = job == null || job.cancelled || status.cause != ExitReason.DONE || job.progress.isDoneRecorded(status.task.index)
 
     private companion object {
         /** Times its own estimate that a task may take to save, unless its machine is about to be reclaimed. */
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -4,140 +4,131 @@
 import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 
-/** What is believed of a job, by how its tasks end. */
-enum class JobHealth {
-    /** No task has succeeded or failed often enough to tell. */
-    UNKNOWN,
-
-    /** A task is done, or has run for much longer than others took to fail: failures are their machines'. */
-    HEALTHY,
-
-    /** It fails wherever it is tried, as a job submitted with a mistake does: it is tried with few tasks, ever more slowly. */
-    SUSPECT,
-}
-
 /**
- * Whether a failure is the job's or the machine's. The first failures of a job accuse both. Once a task of it succeeds, the
- * machines that failed it are blamed; once it has failed on several machines with no success anywhere, they are cleared.
- * Without that, two broken jobs on one rack scheduled for release it, and a broken job of hundreds of tasks took that many slots and
- * image fetches with every try.
+ * Attributes failures of tasks to their jobs or to their machines.
+ *
+ * The first failures of a job count against both. Once a task of the job succeeds, they are attributed to the machines; once the job
+ * has failed on several machines with no success anywhere, to the job, and the machines are cleared. So a broken job neither
+ * gets sound machines released nor takes slots and image fetches for all of its tasks with each try.
  */
 class FailureAttribution(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
+    /** A task of [job] has succeeded on [machine]. */
     fun succeeded(
         job: Job,
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
     ) {
-        m.failures = 0
-        m.attributedFailures = 0
-        m.suspectJobs.clear()
-        job.failures = 0
-        if (job.health != JobHealth.HEALTHY) clear(job, nowMs)
+        machine.failures = 0
+        machine.attributedFailures = 0
+        machine.suspectJobs.clear()
+        job.failureRecord.recordSuccess()
+        if (job.health != JobHealth.HEALTHY) markHealthy(job, nowMs)
     }
 
-    /** A task of [job] failed on [m], [afterMs] after it was first seen to run. */
+    /** A task of [job] has failed on [machine], [ranMs] after it was first seen to run. */
     fun failed(
         job: Job,
-        m: Machine,
-        afterMs: Long,
+        machine: Machine,
+        ranMs: Long,
         nowMs: Long,
     ) {
-        job.failures++
-        job.failedOn.add(m.id)
-        job.longestFailMs = maxOf(job.longestFailMs, afterMs)
-        job.notBeforeMs = nowMs + PlacementConstants.FAILURE_BACKOFF_MS
+        job.failureRecord.recordFailure(machine, ranMs, nowMs)
         when (job.health) {
             JobHealth.HEALTHY -> {
-                m.failures++
-                m.attributedFailures++
+                machine.failures++
+                machine.attributedFailures++
             }
 
             JobHealth.SUSPECT -> {
-                job.notBeforeMs =
-                    nowMs + minOf(PlacementConstants.PROBE_BACKOFF_MS shl minOf(job.probes++, MOST_DOUBLINGS), PlacementConstants.MAX_PROBE_BACKOFF_MS)
+                job.failureRecord.probeFailed(nowMs)
                 return
             }
 
             JobHealth.UNKNOWN -> {
-                m.failures++
-                m.suspectJobs.add(job.id)
-                job.failuresByMachine.merge(m, 1, Int::plus)
+                machine.failures++
+                machine.suspectJobs.add(job.id)
+                job.failureRecord.addUnattributed(machine)
                 cluster.unprovenJobs.add(job)
-                if (job.failuresByMachine.keys.count { it.attributedFailures == 0 } >= PlacementConstants.SUSPECT_JOB_MACHINES) return markSuspect(job, nowMs)
+                if (hasFailedOnSoundMachines(job)) return markSuspect(job, nowMs)
             }
         }
-        if (m.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= m.quarantinedUntilMs) setAside(m, nowMs)
+        if (machine.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= machine.quarantinedUntilMs) quarantine(machine, nowMs)
     }
 
-    /** A machine that fails what it is given would, being empty, draw ever more tasks. One job alone is as likely at fault. */
-    private fun setAside(
-        m: Machine,
+    private fun hasFailedOnSoundMachines(job: Job): Boolean {
+        val soundMachines =
+            job.failureRecord.unattributedFailures.keys
+                .count { it.attributedFailures == 0 }
+        return soundMachines >= PlacementConstants.SUSPECT_JOB_MACHINES
+    }
+
+    /** A machine that fails what it is given is always empty, and would draw ever more tasks. A single job may as well be the cause itself. */
+    private fun quarantine(
+        machine: Machine,
         nowMs: Long,
     ) {
-        val sure = m.attributedFailures > 0 || m.suspectJobs.size >= 2
-        val whose = "${m.attributedFailures} attributed to it, the rest to ${m.suspectJobs.size} unproven jobs"
-        log("${m.id} fails ${m.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
-        m.quarantinedUntilMs = nowMs + if (sure) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
+        val certain = machine.attributedFailures > 0 || machine.suspectJobs.size >= 2
+        val causes = "${machine.attributedFailures} attributed to it, the rest to ${machine.suspectJobs.size} unproven jobs"
+        log("${machine.id} fails ${machine.failures} tasks in a row, $causes: quarantined${if (certain) "" else " for a moment"}")
+        machine.quarantinedUntilMs = nowMs + if (certain) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
     }
 
     private fun markSuspect(
         job: Job,
         nowMs: Long,
     ) {
-        log("${job.id}: suspect, failed ${job.failures} times on ${job.failedOn.size} machines: probed with few tasks from now on")
-        job.changeHealth(JobHealth.SUSPECT)
-        job.notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
-        for ((m, times) in job.failuresByMachine) {
-            if (!m.suspectJobs.remove(job.id)) continue
-            m.failures = maxOf(0, m.failures - times)
-            if (m.suspectJobs.isEmpty() && m.attributedFailures == 0) m.quarantinedUntilMs = nowMs
+        val record = job.failureRecord
+        log("${job.id}: suspect, failed ${record.failures} times on ${record.failedOn.size} machines: probed with few tasks from now on")
+        record.markSuspect(nowMs)
+        for ((machine, failures) in record.unattributedFailures) {
+            if (!machine.suspectJobs.remove(job.id)) continue
+            machine.failures = maxOf(0, machine.failures - failures)
+            if (machine.suspectJobs.isEmpty() && machine.attributedFailures == 0) machine.quarantinedUntilMs = nowMs
         }
-        job.failuresByMachine.clear()
+        record.clearUnattributed()
         // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
         job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
     }
 
-    /** The job can succeed, so the machines that failed it, and have not succeeded since, are to blame. */
-    private fun clear(
+    /** The failures so far are attributed to the machines that have not succeeded since. */
+    private fun markHealthy(
         job: Job,
         nowMs: Long,
     ) {
+        val record = job.failureRecord
         if (job.health == JobHealth.SUSPECT) log("${job.id}: healthy, it runs in full again")
-        job.changeHealth(JobHealth.HEALTHY)
+        record.markHealthy(nowMs)
         cluster.unprovenJobs.remove(job)
-        job.notBeforeMs = nowMs
-        for ((m, times) in job.failuresByMachine) if (m.suspectJobs.remove(job.id)) m.attributedFailures += times
-        job.failuresByMachine.clear()
+        for ((machine, failures) in record.unattributedFailures) {
+            if (machine.suspectJobs.remove(job.id)) machine.attributedFailures += failures
+        }
+        record.clearUnattributed()
     }
 
-    /** Looks whether tasks of jobs in doubt run for longer than what failed: then not the job is to blame. */
+    /** Marks unproven jobs as healthy that have a task which has run for much longer than others took to fail. */
     fun look(nowMs: Long) {
         if (cluster.unprovenJobs.isEmpty()) return
         for (job in cluster.unprovenJobs.toList()) {
-            val enough = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.longestFailMs * FAIL_TIMES)
-            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enough }) clear(job, nowMs)
+            val enoughMs = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.failureRecord.longestFailMs * HEALTHY_RUN_FACTOR)
+            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enoughMs }) markHealthy(job, nowMs)
         }
     }
 
-    /** An earlier leader had come to doubt the job. */
+    /** Takes over from an earlier leader that [job] is suspect, after [probes] probes. */
     fun restore(
         job: Job,
         probes: Int,
     ) {
         if (job.health != JobHealth.UNKNOWN || job.doneTasks > 0) return
-        job.changeHealth(JobHealth.SUSPECT)
-        job.probes = probes
+        job.failureRecord.restoreSuspect(probes)
         cluster.unprovenJobs.add(job)
     }
 
     private companion object {
-        /** Times that the pause between tries is doubled at the most. */
-        const val MOST_DOUBLINGS = 5
-
-        /** Times the longest that a task took to fail, after which one that still runs speaks for its job. */
-        const val FAIL_TIMES = 3
+        /** A task that runs for this many times the longest run of a failed one shows that its job is healthy. */
+        const val HEALTHY_RUN_FACTOR = 3
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -287,7 +287,7 @@
     ) {
         val job = cluster.jobs[status.task.job] ?: return
         val index = status.task.index
-        if (index >= job.spec.tasks || job.done.get(index)) return
+        if (index >= job.spec.tasks || job.progress.isDone(index)) return
         cluster.markDone(job, index, nowMs)
         job.attempt(index)?.let { cluster.stop(it, nowMs, "done elsewhere") }
     }
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -7,23 +7,33 @@
 import mintfield.core.fleet.Machine
 
 /**
- * Round records: takes them up in a replay, says what the next ones must tell, and which are needed no more. A record is
- * needed for as long as it alone tells something of a shard of a job that lives.
+ * The journal of plans and results in the store, a sequence of round records. Replays it after a failover, decides what the next
+ * record must cover, and finds records that are not needed any more.
+ *
+ * A record is needed for as long as it covers a chunk of an unfinished job that no later record covers as a whole. What an old
+ * record still covers is written again with a later one, until nothing of it is needed.
+ *
+ * Not thread-safe, like the [Cluster] that it works on.
  */
 class PlanJournal(
     private val cluster: Cluster,
     private val fleet: FleetManager,
 ) {
-    /** Keys of records that tell nothing any more; they go when there is room, and a successor finds what is left of them. */
-    val obsoleteRounds = LinkedHashSet<String>()
+    private val obsolete = LinkedHashSet<String>()
 
-    /** Round records in the store, the oldest first. */
+    /** Round records in the store that are needed, the oldest first. */
     private val rounds = LinkedHashMap<String, JournaledRound>()
     private var number = 0L
 
+    /** Keys of records to be deleted when writes are to spare. A successor finds those that are left. */
+    val obsoleteRounds: Set<String> get() = obsolete
+
+    // ---- replay ----
+
     /**
-     * Takes a round's record as outputs of plan and done-set steps that need not run again. Rounds come in the order of
-     * their revisions: the later one tells the truth, as it was written with proof. [keep]: something in it cannot be read.
+     * Replays a round record that was read at [revision]: takes its plans and results as facts, in place of what is known of the same
+     * tasks. Records must come in the order of their revisions, as the later one was written with proof. [keep]: something in the record
+     * cannot be read, so that it is never deleted.
      */
     fun replay(
         key: String,
@@ -32,71 +42,53 @@
         nowMs: Long,
         keep: Boolean = false,
     ) {
-        val kept = JournaledRound(key, revision, nowMs)
+        val round = JournaledRound(key, revision, nowMs)
         for (part in record.parts) {
             val job = cluster.jobs[part.job] ?: continue
-            part.released.forEach { i -> job.attempt(i)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) } }
+            part.released.forEach { index -> replaceAttempt(job, index, nowMs) }
             part.plans.forEach { replayPlan(job, it, nowMs) }
             part.done.forEach { replayDone(job, it, nowMs) }
-            cover(kept, job, part.chunk)
+            cover(round, job, part.chunk)
         }
-        if (keep) return
-        if (kept.needed.isEmpty()) obsoleteRounds.add(key) else rounds[key] = kept
+        if (!keep) track(round)
     }
 
-    private fun replayDone(
+    private fun replaceAttempt(
         job: Job,
         index: Int,
         nowMs: Long,
     ) {
-        if (index >= job.spec.tasks) return
         job.attempt(index)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) }
-        job.setDone(index)
-        job.doneWritten.set(index)
     }
 
-    private fun replayPlan(
+    private fun replayDone(
         job: Job,
-        g: PlannedGroup,
+        index: Int,
         nowMs: Long,
     ) {
-        val m = cluster.machines[g.machine] ?: unknownMachine(g.machine, job, nowMs) ?: return
-        for (i in g.indices) {
-            if (i >= job.spec.tasks || job.done.get(i)) continue
-            job.attempt(i)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) }
-            if (g.incarnation < m.incarnation) continue
-            val a = cluster.occupy(job, i, g.attempt, m, g.incarnation)
-            a.startSent = true
-            a.moveTo(AttemptState.PLANNED, nowMs)
-        }
-    }
-
-    private fun cover(
-        kept: JournaledRound,
-        job: Job,
-        chunk: Int,
-    ) {
-        kept.needed.add(job.id to chunk)
-        job.coveringRounds.getOrPut(chunk) { HashSet() }.add(kept)
+        if (index >= job.spec.tasks) return
+        replaceAttempt(job, index, nowMs)
+        job.progress.setDone(index)
+        job.progress.recordDone(index)
     }
 
-    /** What rounds before [revision] told of the shard is not needed any more; a round of which nothing is needed goes. */
-    fun superseded(
+    private fun replayPlan(
         job: Job,
-        chunk: Int,
-        revision: Long,
+        group: PlannedGroup,
+        nowMs: Long,
     ) {
-        val kept = job.coveringRounds[chunk] ?: return
-        kept.removeAll { round ->
-            if (round.revision >= revision) return@removeAll false
-            round.needed.remove(job.id to chunk)
-            if (round.needed.isEmpty() && rounds.remove(round.key) != null) obsoleteRounds.add(round.key)
-            true
+        val machine = cluster.machines[group.machine] ?: unknownMachine(group.machine, job, nowMs) ?: return
+        for (index in group.indices) {
+            if (index >= job.spec.tasks || job.progress.isDone(index)) continue
+            replaceAttempt(job, index, nowMs)
+            if (group.incarnation < machine.incarnation) continue
+            val attempt = cluster.occupy(job, index, group.attempt, machine, group.incarnation)
+            attempt.startSent = true
+            attempt.moveTo(AttemptState.PLANNED, nowMs)
         }
-        if (kept.isEmpty()) job.coveringRounds.remove(chunk)
     }
 
-    /** A machine that a plan names but nobody has described: its type is learned later, from its heartbeats or the list. */
+    /** A machine of which only a plan tells: its type is a guess until its heartbeats or the cloud's list tell it. */
     private fun unknownMachine(
         id: String,
         job: Job,
@@ -108,9 +100,11 @@
         return fleet.machine(id, type.name, zone, false, nowMs)?.also { it.provisional = true }
     }
 
+    // ---- writes ----
+
     /**
-     * What was planned, with all that was reported since the last round; without plans, once something has waited for
-     * [patienceMs]. Returns how many writes that takes.
+     * Adds to [writes] records of what was planned, with all that changed since the last round; without plans, once something has
+     * waited for [patienceMs]. Returns how many writes were added, at most [room].
      */
     fun add(
         writes: MutableList<Write>,
@@ -119,81 +113,138 @@
         nowMs: Long,
     ): Int {
         if (room <= 0) return 0
-        val open = cluster.jobs.values.filter { !it.changed.isEmpty && !it.cancelled && !it.finishing && !it.unreadable && !it.allDone }
-        val due = open.any { it.planning || (it.unwrittenSinceMs > 0 && nowMs - it.unwrittenSinceMs >= patienceMs) }
-        if (!due) return 0
-        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwrittenSinceMs })
+        val open = cluster.jobs.values.filter { isOpen(it) }
+        if (open.none { isDue(it, patienceMs, nowMs) }) return 0
+        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.progress.unwritten.sinceMs })
         val maxBytes = (cluster.limits.valueBytes * PlacementConstants.MAX_VALUE_FILL).toInt()
-        val most = minOf(room, MAX_ROUND_VALUES)
-        val records = RoundPacker.take(order, maxBytes, most, mostJobs())
+        val records = RoundPacker.take(order, maxBytes, most = minOf(room, MAX_ROUND_VALUES), maxJobs())
         for (record in records) {
             val jobs = record.parts.mapTo(LinkedHashSet()) { it.job }.map { cluster.jobs.getValue(it) }
-            writes.add(Write.RecordRound("${cluster.firstTerm}-${++number}", record, jobs))
+            number++
+            writes.add(Write.RecordRound("${cluster.firstTerm}-$number", record, jobs))
         }
-        for (job in order) if (job.changed.isEmpty) job.unwrittenSinceMs = 0
+        for (job in order) job.progress.unwritten.endWaitIfEmpty()
         return records.size
     }
 
+    private fun isOpen(job: Job): Boolean = !job.progress.unwritten.isEmpty && !job.cancelled && !job.finishing && !job.unreadable && !job.allDone
+
+    private fun isDue(
+        job: Job,
+        patienceMs: Long,
+        nowMs: Long,
+    ): Boolean {
+        val sinceMs = job.progress.unwritten.sinceMs
+        return job.planning || (sinceMs > 0 && nowMs - sinceMs >= patienceMs)
+    }
+
+    /** Jobs that one transaction may touch: each needs a precondition, as do the leader key and each other write. */
+    private fun maxJobs(): Int = cluster.limits.txnOps * (PlacementConstants.PRECONDITIONS_PER_WRITE - 1) - 1
+
     /**
-     * What an old round still tells is told anew by the next one, so that it may go and a successor has few to read. It
-     * costs no write of its own; most arrays have ended before.
+     * Marks what old records are still needed for as unwritten, so that the next rounds cover it and a successor has few records to
+     * read. It causes no write of its own.
      */
     fun refresh(nowMs: Long) {
-        var left = REFRESH_AT_ONCE
+        var left = MAX_REWRITES_AT_ONCE
         for (round in rounds.values) {
             if (left <= 0 || nowMs - round.writtenAtMs < PlacementConstants.ROUND_REWRITE_MS) return
-            if (round.refreshed) continue
-            round.refreshed = true
+            if (round.rewriteRequested) continue
+            round.requestRewrite()
             left--
-            for ((id, chunk) in round.needed) {
-                val job = cluster.jobs[id] ?: continue
-                job.markAllChanged(chunk)
-                if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+            for (chunk in round.neededFor) {
+                val job = cluster.jobs[chunk.job] ?: continue
+                job.progress.rewriteChunk(chunk.number)
+                job.progress.unwritten.waitSince(nowMs)
             }
         }
     }
 
-    /** Jobs that one transaction may touch: each needs a guard, as do the leader key and each other write. */
-    private fun mostJobs(): Int = cluster.limits.txnOps * (PlacementConstants.PRECONDITIONS_PER_WRITE - 1) - 1
-
+    /** Some of [writes] were not written: what their records cover is unwritten again. */
     fun putBack(
         writes: List<Write>,
         nowMs: Long,
     ) {
-        for (w in writes) {
-            if (w !is Write.RecordRound) continue
-            for (part in w.record.parts) {
+        for (write in writes) {
+            if (write !is Write.RecordRound) continue
+            for (part in write.record.parts) {
                 val job = cluster.jobs[part.job] ?: continue
                 RoundPacker.putBack(job, part)
-                if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+                job.progress.unwritten.waitSince(nowMs)
             }
         }
     }
 
+    /** The record of [write] was written at [revision]: its plans may be started, and its results are safe. */
     fun written(
         write: Write.RecordRound,
         revision: Long,
         nowMs: Long,
     ) {
-        val kept = JournaledRound(write.key, revision, nowMs)
+        val round = JournaledRound(write.key, revision, nowMs)
         for (part in write.record.parts) {
             val job = cluster.jobs[part.job] ?: continue
-            part.done.forEach { job.doneWritten.set(it) }
-            for (g in part.plans) {
-                for (i in g.indices) {
-                    val a = job.attempt(i)?.takeIf { it.number == g.attempt && it.machine.id == g.machine } ?: continue
-                    if (a.state == AttemptState.PLANNING) a.moveTo(AttemptState.PLANNED, nowMs)
-                }
-            }
-            cover(kept, job, part.chunk)
+            part.done.forEach { job.progress.recordDone(it) }
+            part.plans.forEach { planWritten(job, it, nowMs) }
+            cover(round, job, part.chunk)
             if (part.full) superseded(job, part.chunk, revision)
         }
-        if (kept.needed.isEmpty()) obsoleteRounds.add(write.key) else rounds[write.key] = kept
+        track(round)
+    }
+
+    private fun planWritten(
+        job: Job,
+        group: PlannedGroup,
+        nowMs: Long,
+    ) {
+        for (index in group.indices) {
+            val attempt = job.attempt(index) ?: continue
+            val isOfGroup = attempt.number == group.attempt && attempt.machine.id == group.machine
+            if (isOfGroup && attempt.state == AttemptState.PLANNING) attempt.moveTo(AttemptState.PLANNED, nowMs)
+        }
+    }
+
+    // ---- records that are needed, and those that are not ----
+
+    private fun cover(
+        round: JournaledRound,
+        job: Job,
+        chunk: Int,
+    ) {
+        round.needFor(job, chunk)
+        job.coverage.add(chunk, round)
+    }
+
+    private fun track(round: JournaledRound) {
+        if (round.isObsolete) obsolete.add(round.key) else rounds[round.key] = round
+    }
+
+    /** [job] is gone from the store: no record is needed for it. */
+    fun jobRemoved(job: Job) = job.coverage.chunks.forEach { superseded(job, it, Long.MAX_VALUE) }
+
+    /** What records before [revision] cover of the chunk is not needed any more. */
+    private fun superseded(
+        job: Job,
+        chunk: Int,
+        revision: Long,
+    ) = job.coverage.removeBefore(chunk, revision) { round ->
+        round.notNeededFor(job, chunk)
+        if (round.isObsolete && rounds.remove(round.key) != null) obsolete.add(round.key)
+    }
+
+    /** The record [key], of which it is not known whether it was written, is to be deleted. */
+    fun deleteLater(key: String) {
+        obsolete.add(key)
+    }
+
+    /** The record [key] was deleted. */
+    fun deleted(key: String) {
+        obsolete.remove(key)
     }
 
     private companion object {
-        /** Old rounds whose rest is told anew in one go. */
-        const val REFRESH_AT_ONCE = 2
+        /** Old records whose chunks are marked as unwritten at once. */
+        const val MAX_REWRITES_AT_ONCE = 2
 
         /** Round records in one transaction. */
         const val MAX_ROUND_VALUES = 4
--- a/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
@@ -1,121 +1,126 @@
 package mintfield.core.jobs
 
 /**
- * What changed in one shard of one job: new places, tasks that are done, and tasks that have no place any more. Indices
- * are those of the job.
- */
-class RoundPart(
-    val job: String,
-    val chunk: Int,
-    val plans: List<PlannedGroup>,
-    val done: List<Int>,
-    val released: List<Int>,
-    /** It tells all there is to tell of its shard, so that no earlier round is needed for it. */
-    val full: Boolean = false,
-) {
-    val indices: List<Int> get() = plans.flatMap { it.indices } + done + released
-}
-
-/** The record of one round: a single value that tells of all the jobs it touched. */
-class RoundRecord(
-    val parts: List<RoundPart>,
-)
-
-/** A round record in the store, and how many of its parts are still needed. */
-class JournaledRound(
-    val key: String,
-    /** Revision of its write. */
-    val revision: Long,
-    val writtenAtMs: Long,
-) {
-    val needed = HashSet<Pair<String, Int>>()
-
-    /** What it still tells was marked to be told anew. */
-    var refreshed = false
-}
-
-/**
- * Rounds are written as they are decided, each as one value for all of its jobs, since the store permits few writes. What
- * an old round still tells of jobs that live is told anew by a later one, until nothing of it is needed.
+ * Packs what changed in jobs into round records. Rounds are written as they are decided, each as one value for all of its jobs,
+ * since the store permits few writes.
+ *
+ * Sizes are estimated in characters, which are bytes: ids and numbers are ASCII.
  */
 object RoundPacker {
-    /** Characters of one value round its parts. */
-    private const val FRAME = 20
-
-    /** Takes what changed in [jobs], whole shards in order, into values of at most [maxBytes]; at most [most] values. */
+    /** Takes what changed in [jobs], whole chunks in order, into at most [most] records of at most [maxBytes], for at most [maxJobs] jobs. */
     fun take(
         jobs: List<Job>,
         maxBytes: Int,
         most: Int,
         maxJobs: Int,
     ): List<RoundRecord> {
-        val records = ArrayList<RoundRecord>()
-        var parts = ArrayList<RoundPart>()
-        var bytes = FRAME
-        val seen = HashSet<String>()
+        val records = RecordBuilder(maxBytes, most)
+        val takenJobs = HashSet<String>()
         for (job in jobs) {
-            if (job.id !in seen && seen.size >= maxJobs) break
-            var from = job.changed.nextSetBit(0)
-            while (from >= 0) {
-                val chunk = TaskChunks.of(from)
-                val (part, size) = part(job, chunk, maxBytes - FRAME)
-                if (bytes + size > maxBytes && parts.isNotEmpty()) {
-                    records.add(RoundRecord(parts))
-                    parts = ArrayList()
-                    bytes = FRAME
-                    if (records.size >= most) return records
-                }
-                part.indices.forEach { job.changed.clear(it) }
-                seen.add(job.id)
-                parts.add(part)
-                bytes += size
-                from = job.changed.nextSetBit(from)
+            if (job.id !in takenJobs && takenJobs.size >= maxJobs) break
+            val unwritten = job.progress.unwritten
+            var index = unwritten.nextFrom(0)
+            while (index >= 0) {
+                val sized = part(job, TaskChunks.of(index), maxBytes - RECORD_BYTES)
+                if (!records.add(sized)) return records.complete()
+                sized.part.indices.forEach(unwritten::remove)
+                takenJobs.add(job.id)
+                index = unwritten.nextFrom(index)
             }
         }
-        if (parts.isNotEmpty()) records.add(RoundRecord(parts))
-        return records
+        return records.complete()
     }
 
-    /** What changed in a shard, or as much of it as [maxBytes] hold, and its size. */
+    /** Puts back what a record that was not written had taken. */
+    fun putBack(
+        job: Job,
+        part: RoundPart,
+    ) = part.indices.forEach(job.progress.unwritten::add)
+
+    /** The records taken so far, at most [most], each of at most [maxBytes]. */
+    private class RecordBuilder(
+        private val maxBytes: Int,
+        private val most: Int,
+    ) {
+        private val closed = ArrayList<RoundRecord>()
+        private var parts = ArrayList<RoundPart>()
+        private var bytes = RECORD_BYTES
+
+        /** Adds [sized] to the open record, or to a new one. False if it would be one too many; then nothing is added. */
+        fun add(sized: SizedPart): Boolean {
+            if (bytes + sized.bytes > maxBytes) close()
+            if (closed.size >= most) return false
+            parts.add(sized.part)
+            bytes += sized.bytes
+            return true
+        }
+
+        private fun close() {
+            if (parts.isEmpty()) return
+            closed.add(RoundRecord(parts))
+            parts = ArrayList()
+            bytes = RECORD_BYTES
+        }
+
+        fun complete(): List<RoundRecord> {
+            close()
+            return closed
+        }
+    }
+
+    private class SizedPart(
+        val part: RoundPart,
+        val bytes: Int,
+    )
+
+    /** What the tasks of a [PlannedGroup] have in common. */
+    private data class GroupKey(
+        val machine: String,
+        val incarnation: Long,
+        val attempt: Long,
+    )
+
+    /** What changed in a chunk, or as much of it as [maxBytes] hold. */
     private fun part(
         job: Job,
         chunk: Int,
         maxBytes: Int,
-    ): Pair<RoundPart, Int> {
+    ): SizedPart {
         val base = chunk * TaskChunks.TASKS
-        val groups = LinkedHashMap<Triple<String, Long, Long>, MutableList<Int>>()
+        val progress = job.progress
+        val groups = LinkedHashMap<GroupKey, MutableList<Int>>()
         val done = ArrayList<Int>()
         val released = ArrayList<Int>()
-        var bytes = job.id.length + PART_FRAME
-        var i = job.changed.nextSetBit(base)
-        while (i >= 0 && i < base + TaskChunks.TASKS && bytes + GROUP_BYTES < maxBytes) {
-            val a = job.attempt(i)
-            if (job.done.get(i)) {
-                done.add(i)
-            } else if (a == null) {
-                released.add(i)
+        var bytes = job.id.length + PART_BYTES
+        var index = progress.unwritten.nextFrom(base)
+        while (index >= 0 && index < base + TaskChunks.TASKS && bytes + GROUP_BYTES < maxBytes) {
+            val attempt = progress.attempt(index)
+            if (progress.isDone(index)) {
+                done.add(index)
+            } else if (attempt == null) {
+                released.add(index)
             } else {
-                val group = Triple(a.machine.id, a.incarnation, a.number)
-                if (group !in groups) bytes += a.machine.id.length + GROUP_BYTES
-                groups.getOrPut(group) { ArrayList() }.add(i)
+                val group = GroupKey(attempt.machine.id, attempt.incarnation, attempt.number)
+                if (group !in groups) bytes += attempt.machine.id.length + GROUP_BYTES
+                groups.getOrPut(group) { ArrayList() }.add(index)
             }
             bytes += INDEX_BYTES
-            i = job.changed.nextSetBit(i + 1)
+            index = progress.unwritten.nextFrom(index + 1)
         }
-        val plans = groups.map { (k, v) -> PlannedGroup(k.first, k.second, k.third, v) }
-        val full = done.size + plans.sumOf { it.indices.size } == job.progressCount(chunk)
-        return RoundPart(job.id, chunk, plans, done, released, full) to bytes
+        val plans = groups.map { (group, indices) -> PlannedGroup(group.machine, group.incarnation, group.attempt, indices) }
+        val full = done.size + plans.sumOf { it.indices.size } == progress.coveredCount(chunk)
+        return SizedPart(RoundPart(job.id, chunk, plans, done, released, full), bytes)
     }
 
-    /** Puts back what a record that was not written had taken. */
-    fun putBack(
-        job: Job,
-        part: RoundPart,
-    ) = part.indices.forEach { job.changed.set(it) }
+    /** Characters of a record besides its parts. */
+    private const val RECORD_BYTES = 20
+
+    /** Characters of a part besides its job's id, its groups and its indices. */
+    private const val PART_BYTES = 24
 
-    private const val PART_FRAME = 24
+    /** Characters of a group besides its machine's id and its indices. */
     private const val GROUP_BYTES = 40
 
-    /** A number in a list of ranges with its comma; shards have fewer than a thousand tasks. */
+    /** Characters of a number in a list of ranges with its comma; chunks have fewer than a thousand tasks. */
     private const val INDEX_BYTES = 4
 }
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskExchange.kt
@@ -111,7 +111,7 @@
 
     private fun recorded(e: Ended): Boolean {
         val job = scheduler.cluster.jobs[e.task.job] ?: return true
-        return !e.result || job.cancelled || job.doneWritten.get(e.task.index)
+        return !e.result || job.cancelled || job.progress.isDoneRecorded(e.task.index)
     }
 
     /** The owner of the machine asked about has answered [query]. */
