--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -41,7 +41,7 @@
     }
 
     /** Where workers are to report while the controller that they would try after this one is silent. */
-    fun relayPeer(): String? = relaySelector.place(peers::isUnreachable, peers::isReachable)
+    fun relayPeer(): String? = relaySelector.relayPeer(peers::isUnreachable, peers::isReachable)
 
     private suspend fun answer(
         leader: Leader,
@@ -52,7 +52,10 @@
         if (direct) {
             leader.directHeartbeat(heartbeat)
             val place = relayPeer()
-            if (place != null && leader.hasHeardFrom(heartbeat) && relaySelector.send(heartbeat.machine, leader.wasRelayed(heartbeat), loop.nowMs())) {
+            if (place != null &&
+                leader.hasHeardFrom(heartbeat) &&
+                relaySelector.shouldRedirect(heartbeat.machine, leader.wasRelayed(heartbeat), loop.nowMs())
+            ) {
                 return Response(421, Json.obj { writeStringField("steward", place) })
             }
         }
--- a/src/main/kotlin/mintfield/app/peer/PeerLink.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerLink.kt
@@ -15,6 +15,7 @@
 import mintfield.app.election.LeaderElections
 import mintfield.core.ConnectionLimits
 import mintfield.core.constants.PeerConstants
+import mintfield.core.leadership.CancellationLogPosition
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.leadership.Isolation
 import mintfield.core.leadership.PeerFailureDetector
@@ -89,7 +90,7 @@
         ): CancellationPage
 
         /** Whose log of cancellations was read from [peer], and up to which entry. */
-        fun cancellationsRead(peer: String): Pair<Long, Long>
+        fun cancellationsRead(peer: String): CancellationLogPosition
 
         /** [member], asked at [askedAtMs], has told users of these cancellations. */
         fun peerCancelled(
@@ -211,7 +212,7 @@
      */
     suspend fun relayUser(request: HttpMessage): Response? {
         if (store.served) return null
-        val peer = failureDetector.served(loop.nowMs()) ?: return null
+        val peer = failureDetector.servedPeer(loop.nowMs()) ?: return null
         val client = clients[peer] ?: return null
         val relayed = RelayedRequest(request.first, request.second, request.body)
         val bytes = ProtoBuf.encodeToByteArray(RelayedRequest.serializer(), relayed)
@@ -275,7 +276,7 @@
     fun isStoreUnavailable(): Boolean = store.unservedForLong(loop.nowMs())
 
     /** Whether nothing at all has come from the store for a while. */
-    fun isStoreUnreachable(): Boolean = store.cut(loop.nowMs())
+    fun isStoreUnreachable(): Boolean = store.unreachableForLong(loop.nowMs())
 
     /** Whether [peer] has been silent for longer than a restart takes. */
     fun isUnreachable(peer: String): Boolean = failureDetector.isUnreachable(peer, loop.nowMs())
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -144,7 +144,7 @@
             lastReplicaRoundMs = nowMs
             cluster.roundWanted = false
             inheritedUrgency.refresh(nowMs, wallMs)
-            failureAttribution.look(nowMs)
+            failureAttribution.checkUnprovenJobs(nowMs)
             round.run(nowMs, wallMs, most)
             return
         }
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -25,7 +25,7 @@
         machine.attributedFailures = 0
         machine.suspectJobs.clear()
         job.failureRecord.recordSuccess()
-        if (job.health != JobHealth.HEALTHY) markHealthy(job, nowMs)
+        if (job.health != JobHealth.HEALTHY) becameHealthy(job, nowMs)
     }
 
     /** A task of [job] has failed on [machine], [ranMs] after it was first seen to run. */
@@ -52,7 +52,7 @@
                 machine.suspectJobs.add(job.id)
                 job.failureRecord.addUnattributed(machine)
                 cluster.unprovenJobs.add(job)
-                if (hasFailedOnSoundMachines(job)) return markSuspect(job, nowMs)
+                if (hasFailedOnSoundMachines(job)) return becameSuspect(job, nowMs)
             }
         }
         if (machine.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= machine.quarantinedUntilMs) quarantine(machine, nowMs)
@@ -76,13 +76,13 @@
         machine.quarantinedUntilMs = nowMs + if (certain) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
     }
 
-    private fun markSuspect(
+    private fun becameSuspect(
         job: Job,
         nowMs: Long,
     ) {
         val record = job.failureRecord
         log("${job.id}: suspect, failed ${record.failures} times on ${record.failedOn.size} machines: probed with few tasks from now on")
-        record.markSuspect(nowMs)
+        record.becomeSuspect(nowMs)
         for ((machine, failures) in record.unattributedFailures) {
             if (!machine.suspectJobs.remove(job.id)) continue
             machine.failures = maxOf(0, machine.failures - failures)
@@ -94,13 +94,13 @@
     }
 
     /** The failures so far are attributed to the machines that have not succeeded since. */
-    private fun markHealthy(
+    private fun becameHealthy(
         job: Job,
         nowMs: Long,
     ) {
         val record = job.failureRecord
         if (job.health == JobHealth.SUSPECT) log("${job.id}: healthy, it runs in full again")
-        record.markHealthy(nowMs)
+        record.becomeHealthy(nowMs)
         cluster.unprovenJobs.remove(job)
         for ((machine, failures) in record.unattributedFailures) {
             if (machine.suspectJobs.remove(job.id)) machine.attributedFailures += failures
@@ -108,12 +108,12 @@
         record.clearUnattributed()
     }
 
-    /** Marks unproven jobs as healthy that have a task which has run for much longer than others took to fail. */
-    fun look(nowMs: Long) {
+    /** Finds the unproven jobs healthy that have a task which has run for much longer than others took to fail. */
+    fun checkUnprovenJobs(nowMs: Long) {
         if (cluster.unprovenJobs.isEmpty()) return
         for (job in cluster.unprovenJobs.toList()) {
             val enoughMs = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.failureRecord.longestFailMs * HEALTHY_RUN_FACTOR)
-            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enoughMs }) markHealthy(job, nowMs)
+            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enoughMs }) becameHealthy(job, nowMs)
         }
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureRecord.kt
@@ -81,13 +81,13 @@
     }
 
     /** The job has become suspect. */
-    fun markSuspect(nowMs: Long) {
+    fun becomeSuspect(nowMs: Long) {
         moveTo(JobHealth.SUSPECT)
         notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
     }
 
     /** The job can succeed. */
-    fun markHealthy(nowMs: Long) {
+    fun becomeHealthy(nowMs: Long) {
         moveTo(JobHealth.HEALTHY)
         notBeforeMs = nowMs
     }
--- a/src/main/kotlin/mintfield/core/jobs/FinalStates.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FinalStates.kt
@@ -3,8 +3,8 @@
 import mintfield.core.model.FinalState
 
 /**
- * Final states kept in memory, the least recently used dropped first. A map of the JDK: Guava's cache initialises
- * `java.util.logging`, which took a tenth of a start.
+ * A cache of final states, at most [capacity], that drops the least recently used first. It is a map of the JDK, and not Guava's cache,
+ * which initialises `java.util.logging` and so makes starts slower. Not thread-safe.
  */
 class FinalStates(
     private val capacity: Int,
@@ -14,10 +14,10 @@
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, FinalState>) = size > capacity
         }
 
-    /** The final state of job [id], if it is kept here. */
+    /** The final state of job [id], if it is cached. */
     operator fun get(id: String): FinalState? = states[id]
 
-    /** Keeps [state] as that of job [id]. */
+    /** Caches [state] as the final state of job [id]. */
     operator fun set(
         id: String,
         state: FinalState,
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -2,98 +2,30 @@
 
 import mintfield.core.constants.StoreConstants
 import mintfield.core.dependencies.DependencyGraph
-import mintfield.core.dependencies.DependencyListener
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
 
-/** An unfinished job's record in the store, at the revision [revision]. */
-sealed interface JobRecord {
-    val revision: Long
-
-    /** A record as this version of the program writes it. */
-    data class Readable(
-        val job: AcceptedJob,
-    ) : JobRecord {
-        override val revision get() = job.revision
-    }
-
-    /** A record that says nothing to this version of the program. The job is known, and nothing else is. */
-    data class Unreadable(
-        override val revision: Long,
-    ) : JobRecord
-}
-
-/** One change of the store that concerns the job [id], made at the revision [revision]. */
-sealed interface JobChange {
-    val id: String
-    val revision: Long
-
-    /** The record of an unfinished job was written. */
-    data class Written(
-        override val id: String,
-        val record: JobRecord,
-    ) : JobChange {
-        override val revision get() = record.revision
-    }
-
-    /** The record of an unfinished job was deleted. */
-    data class Removed(
-        override val id: String,
-        override val revision: Long,
-    ) : JobChange
-
-    /** The job has got its final state. */
-    data class Ended(
-        override val id: String,
-        override val revision: Long,
-        val state: FinalState,
-    ) : JobChange
-}
-
-/** What is known of a job. */
-sealed interface KnownJob {
-    /** It is done or cancelled, for ever. */
-    data class Ended(
-        val state: FinalState,
-    ) : KnownJob
-
-    /** It has a record of an unfinished job; [job] may be cancelled already. */
-    data class Live(
-        val job: AcceptedJob,
-    ) : KnownJob
-
-    /** It was accepted, but what is recorded of it cannot be read. */
-    data object Unreadable : KnownJob
-}
-
-/** Told of what changes in a [JobReplica]. */
-interface JobListener : DependencyListener {
-    fun changed(job: AcceptedJob)
-
-    fun removed(id: String)
-}
-
 /**
- * This node's replica of the jobs that the store holds: all unfinished ones, and a cache of final states.
+ * This controller's replica of the jobs in the store: all unfinished ones, and a cache of final states.
  *
- * Changes and snapshots may be read by several requests at once and arrive in any order. Of each job the newest revision counts,
- * so nothing here is ever replaced by something older, and [revision] never falls back.
+ * Changes and snapshots may be read by several requests at once and arrive in any order. Of each job the newest revision counts, so
+ * that nothing is ever replaced by something older, and [revision] never falls. Not thread-safe.
  */
 class JobReplica {
     private val liveJobs = HashMap<String, AcceptedJob>()
 
-    /** The marks of records that cannot be read. */
+    /** Revisions of the records that cannot be read. */
     private val unreadable = HashMap<String, Long>()
     private val finals = FinalStates(StoreConstants.MAX_CACHED_FINAL_STATES)
 
-    /** When jobs were removed while a snapshot was being read, which may still hold them. */
+    /** Revisions at which jobs were removed while a snapshot was being read, which may still hold them. */
     private val removedAt = HashMap<String, Long>()
     private var openSnapshots = 0
 
     /** The unfinished jobs whose records can be read, by id. */
     val live: Map<String, AcceptedJob> get() = liveJobs
 
-    /** All changes up to this revision are shown. */
+    /** The replica shows all changes of the store up to this revision. */
     var revision = 0L
         private set
 
@@ -101,9 +33,10 @@
     var loaded = false
         private set
 
-    /** Which of these jobs depend on which others. */
+    /** The dependencies between these jobs. */
     val dependencies = DependencyGraph(::known)
 
+    /** Is told of each change, if set. */
     var listener: JobListener? = null
         set(value) {
             field = value
@@ -145,18 +78,18 @@
         revision = maxOf(known, upTo)
     }
 
-    /** The changes after [asked] are not to be had any more; only a snapshot can tell them, unless they have come another way. */
+    /** The store has dropped the changes after [asked]: a snapshot is needed, unless they have been read by another request. */
     fun historyLost(asked: Long) {
         if (asked >= revision) loaded = false
     }
 
-    /** Begins the reading of a snapshot of all unfinished jobs, page by page. To be closed in any case. */
+    /** Begins the reading of a snapshot of all unfinished jobs, page by page. The caller closes it, whether or not it was completed. */
     fun beginSnapshot(): Snapshot {
         openSnapshots++
         return Snapshot()
     }
 
-    /** All unfinished jobs as the store lists them. Pages read later may show later changes. */
+    /** A snapshot of all unfinished jobs, as far as it has been read. Its pages may be read at different revisions. */
     inner class Snapshot internal constructor() : AutoCloseable {
         private val found = HashMap<String, JobRecord>()
         private var firstRevision: Long? = null
@@ -170,17 +103,18 @@
             found.putAll(records)
         }
 
-        /** All pages have been read: what they show and the replica does not is taken over. */
+        /** All pages have been read: brings the replica to the revision of the first one, at least. Throws [IllegalStateException] without a page. */
         fun complete() {
             val readAt = checkNotNull(firstRevision) { "a snapshot without a page" }
             found.forEach { (id, record) -> if (record.revision > (removedAt[id] ?: 0)) write(id, record) }
-            // What came later than the first page may have been missed by the pages; the next changes tell its fate.
-            val gone = (liveJobs.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
-            gone.forEach(::remove)
+            // A record written after the first page was read may be in no page; the changes to be read next tell of it.
+            val removed = (liveJobs.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
+            removed.forEach(::remove)
             revision = maxOf(revision, readAt)
             loaded = true
         }
 
+        /** Ends the reading. */
         override fun close() {
             openSnapshots--
             if (openSnapshots == 0) removedAt.clear()
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
@@ -3,47 +3,41 @@
 import mintfield.core.constants.PeerConstants
 import mintfield.core.model.Settings
 
-/** A stretch of a [CancellationLog]: entries from number [from] on, of [total] in all. */
-data class CancellationPage(
-    val incarnation: Long,
-    val from: Long,
-    val ids: List<String>,
-    val total: Long,
-)
-
 /**
- * The jobs that this process has told users are cancelled, in the order of telling. Peers read it: one that leads and that
- * the store refuses learns here of what it would otherwise find out too late. [incarnation] tells this process from
- * an earlier one of the same member, whose log is lost.
+ * The jobs of which this process has told users that they are cancelled, in the order of telling. Peers read it, so that a leader
+ * that cannot read the store learns of cancellations in time. Entries are numbered from 0; the oldest are dropped.
+ *
+ * [incarnation] tells this process from an earlier one of the same controller, whose log is lost.
  */
 class CancellationLog(
     private val incarnation: Long,
     private val size: Size = Size(PeerConstants.MIN_CANCELLATIONS_KEPT, PeerConstants.MIN_CANCELLATIONS_PER_PAGE),
 ) {
-    /** How many entries are [kept], and how many of them go into one page. */
+    /** How many entries are [kept], and how many of them go into one page at the most. */
     data class Size(
         val kept: Int,
         val page: Int,
     ) {
+        /** Computes sizes. */
         companion object {
-            /** Each cancellation is a change of the store, so there are no more of them than it permits. */
-            fun of(settings: Settings) =
-                Size(
-                    kept =
-                        maxOf(
-                            PeerConstants.MIN_CANCELLATIONS_KEPT,
-                            (settings.stateWriteRps * settings.cancelS * PeerConstants.CANCELLATIONS_KEPT_FACTOR).toInt(),
-                        ),
+            /** The size for a store with the limits in [settings]: each cancellation is a change of the store, so that no more can come. */
+            fun of(settings: Settings): Size {
+                val perCancellationTime = settings.stateWriteRps * settings.cancelS
+                return Size(
+                    kept = maxOf(PeerConstants.MIN_CANCELLATIONS_KEPT, (perCancellationTime * PeerConstants.CANCELLATIONS_KEPT_FACTOR).toInt()),
                     page = maxOf(PeerConstants.MIN_CANCELLATIONS_PER_PAGE, (settings.stateWriteRps * PeerConstants.CANCELLATIONS_PER_PAGE_S).toInt()),
                 )
+            }
         }
     }
 
     private val entries = ArrayDeque<String>()
     private val kept = HashSet<String>()
+
+    /** Number of the oldest entry that is kept. */
     private var first = 0L
 
-    /** To be called before a user is told that [id] is cancelled. */
+    /** Adds job [id], unless the log has it. To be called before a user is told that the job is cancelled. */
     fun append(id: String) {
         if (!kept.add(id)) return
         entries.addLast(id)
@@ -52,7 +46,10 @@
         first++
     }
 
-    /** What [reader] lacks, who has read up to number [next] of the log of [ofIncarnation]. */
+    /**
+     * The page for a reader that has read the log of the process [ofIncarnation] up to, and without, entry [next]. It begins with the
+     * oldest entry if the reader knows another process, or if entry [next] has been dropped.
+     */
     fun after(
         ofIncarnation: Long,
         next: Long,
--- a/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
+++ b/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
@@ -3,64 +3,45 @@
 import mintfield.core.constants.PeerConstants
 
 /**
- * Brings workers whose heartbeats come through peers back to the leader itself: through a peer they depend on two
- * controllers, and when the leader stands still they find that out at each peer in turn. After a cut all workers of a zone
- * come so; one at a time is sent to try, and when one is heard directly the others follow.
+ * Decides which workers, whose heartbeats peers relay to this leader, are told to connect to the leader directly. A relayed worker depends
+ * on two controllers, and when the leader stalls it finds that out at each peer in turn.
+ *
+ * After a partition the heartbeats of a whole zone come relayed. One worker at a time is sent to probe the direct route; the others
+ * follow when a direct heartbeat of the zone arrives. [directFreshMs] is how long a direct heartbeat proves the route, in milliseconds.
  */
 class DirectRouteRecovery(
     private val directFreshMs: Long,
 ) {
-    private val directAtMs = HashMap<String, Long>()
-    private val scoutAtMs = HashMap<String, Long>()
-    private val sentAtMs = HashMap<String, Long>()
+    private val directHeartbeatAtMs = HashMap<String, Long>()
+    private val probedAtMs = HashMap<String, Long>()
+    private val redirectedAtMs = HashMap<String, Long>()
 
-    /** A worker of [zone] has reported here directly. */
+    /** A worker of [zone] has sent a heartbeat here directly. */
     fun directHeartbeat(
         zone: String,
         nowMs: Long,
     ) {
-        directAtMs[zone] = nowMs
+        directHeartbeatAtMs[zone] = nowMs
     }
 
-    /** Whether [machine] of [zone], whose heartbeat was relayed, is to come here itself from now on. */
+    /** Whether [machine] of [zone], whose heartbeat was relayed, is to connect directly from now on. True counts as a redirect of it. */
     fun shouldConnectDirectly(
         machine: String,
         zone: String,
         nowMs: Long,
     ): Boolean {
-        if (within(sentAtMs[machine], nowMs, PeerConstants.REDIRECT_BACKOFF_MS)) return false
-        if (!within(directAtMs[zone], nowMs, directFreshMs)) {
-            if (within(scoutAtMs[zone], nowMs, PeerConstants.DIRECT_ROUTE_PROBE_MS)) return false
-            scoutAtMs[zone] = nowMs
+        if (isWithin(PeerConstants.REDIRECT_BACKOFF_MS, redirectedAtMs[machine], nowMs)) return false
+        if (!isWithin(directFreshMs, directHeartbeatAtMs[zone], nowMs)) {
+            if (isWithin(PeerConstants.DIRECT_ROUTE_PROBE_MS, probedAtMs[zone], nowMs)) return false
+            probedAtMs[zone] = nowMs
         }
-        sentAtMs[machine] = nowMs
+        redirectedAtMs[machine] = nowMs
         return true
     }
 
-    private fun within(
-        atMs: Long?,
+    private fun isWithin(
+        periodMs: Long,
+        sinceMs: Long?,
         nowMs: Long,
-        ms: Long,
-    ) = atMs != null && nowMs - atMs < ms
-}
-
-/**
- * Where a worker goes that comes to a controller which cannot reach the leader. The next one in its order may be that leader,
- * standing still, which costs it 4 s; so it is sent to a peer that is heard, once, and after that left to its own order,
- * as it may reach the leader itself.
- */
-class PeerRedirects {
-    private val sentAtMs = HashMap<String, Long>()
-
-    fun offer(
-        machine: String,
-        peer: String?,
-        nowMs: Long,
-    ): String? {
-        if (peer == null) return null
-        val last = sentAtMs[machine]
-        if (last != null && nowMs - last < PeerConstants.REDIRECT_BACKOFF_MS) return null
-        sentAtMs[machine] = nowMs
-        return peer
-    }
+    ): Boolean = sinceMs != null && nowMs - sinceMs < periodMs
 }
--- a/src/main/kotlin/mintfield/core/leadership/Isolation.kt
+++ b/src/main/kotlin/mintfield/core/leadership/Isolation.kt
@@ -2,21 +2,21 @@
 
 import mintfield.core.constants.PeerConstants
 
-/** What a controller may not do because it is cut off, by what it hears of the store and its peers. */
+/** Whether this controller is partitioned from the store and its peers, and what it must leave to others then. */
 class Isolation(
     private val store: StoreConnectivity,
     private val peers: PeerFailureDetector,
 ) {
-    /** Cut off from the store, and no peer to be heard: whoever comes here had better go elsewhere. */
-    fun isCutOff(nowMs: Long): Boolean = store.cut(nowMs) && !peers.isAnyReachable(nowMs)
+    /** Whether neither the store nor any peer can be reached: clients are better served elsewhere. */
+    fun isCutOff(nowMs: Long): Boolean = store.unreachableForLong(nowMs) && !peers.isAnyReachable(nowMs)
 
     /** Whether the store has refused this controller for a while although it serves a peer. */
-    fun isRefusedAlone(nowMs: Long): Boolean = store.unservedForLong(nowMs) && peers.served(nowMs) != null
+    fun isRefusedAlone(nowMs: Long): Boolean = store.unservedForLong(nowMs) && peers.servedPeer(nowMs) != null
 
     /**
-     * Whether a leader with [leaseLeftMs] of its lease left must send workers away. One past its lease goes on answering in an outage, so
-     * that the workers keep theirs. One that reaches neither the store nor a peer may be cut off alone: then its answers hold
-     * workers that a successor waits for.
+     * Whether a leader with [leaseLeftMs] of its lease left, negative after its end, must redirect workers. A leader past its lease
+     * goes on responding during an outage of the store, so that workers keep their leases. One that reaches no peer either may be
+     * partitioned alone: its responses would then hold workers that its successor needs.
      */
     fun redirectsWorkers(
         leaseLeftMs: Long,
--- a/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
@@ -1,32 +1,17 @@
 package mintfield.core.leadership
 
-import mintfield.core.constants.LeadershipConstants
-
-enum class Role {
-    /** Looks who leads. */
-    SEEKING,
-
-    /** Knows a leader and watches its key. */
-    FOLLOWING,
-
-    /** Tries to become the leader. */
-    CANDIDATE,
-
-    /** Leads. */
-    LEADING,
-}
-
-/** A member's part in the leadership; every change of it goes through [moveTo]. */
+/** The state machine of one controller's [Role]. Not thread-safe. */
 class LeaderRole(
     private val log: (String) -> Unit,
 ) {
     var role = Role.SEEKING
         private set
 
-    /** Who leads, as far as is known. */
+    /** Name of the controller that leads, or null if that is not known. */
     var leader: String? = null
         private set
 
+    /** The only place where the role changes. Throws [IllegalStateException] if the change to [next] is not allowed. */
     fun moveTo(
         next: Role,
         leader: String?,
@@ -47,22 +32,3 @@
             )
     }
 }
-
-/**
- * How long a leader may act. The lease is counted from the *sending* of its last successful renewal, less drift and
- * margin, so that it ends here before it can end in the store.
- */
-class LeaseClock(
-    private val lifeMs: Long,
-    grantedSentAtMs: Long,
-) {
-    private var sentAtMs = grantedSentAtMs
-
-    fun renewed(renewalSentAtMs: Long) {
-        sentAtMs = maxOf(sentAtMs, renewalSentAtMs)
-    }
-
-    fun leftMs(nowMs: Long): Long = sentAtMs + (lifeMs * (1 - LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() - LeadershipConstants.LEASE_MARGIN_MS - nowMs
-
-    fun mayAct(nowMs: Long) = leftMs(nowMs) > 0
-}
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/leadership/LeaseClock.kt
@@ -0,0 +1,27 @@
+package mintfield.core.leadership
+
+import mintfield.core.constants.LeadershipConstants
+
+/**
+ * How long a leader may act on its lease of [lifeMs]. The lease is counted from the *sending* of its last successful renewal, less clock
+ * drift and a margin, so that it ends here before it can end in the store.
+ *
+ * All times are in milliseconds of this controller's steady clock. The lease was granted to a request sent at [grantedSentAtMs].
+ */
+class LeaseClock(
+    private val lifeMs: Long,
+    grantedSentAtMs: Long,
+) {
+    private var sentAtMs = grantedSentAtMs
+
+    /** A renewal that was sent at [renewalSentAtMs] has succeeded. */
+    fun renewed(renewalSentAtMs: Long) {
+        sentAtMs = maxOf(sentAtMs, renewalSentAtMs)
+    }
+
+    /** Milliseconds until the lease ends; negative after its end. */
+    fun leftMs(nowMs: Long): Long = sentAtMs + (lifeMs * (1 - LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() - LeadershipConstants.LEASE_MARGIN_MS - nowMs
+
+    /** Whether the lease has not ended. */
+    fun mayAct(nowMs: Long) = leftMs(nowMs) > 0
+}
--- a/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
@@ -2,7 +2,12 @@
 
 import mintfield.core.constants.PeerConstants
 
-/** When each peer was last heard, and whether the store served it then. */
+/**
+ * A failure detector for the peers, by the status messages that arrive from them. A peer counts as reachable for a short time after its last
+ * message, and as unreachable only after a longer silence; in between it is neither.
+ *
+ * All times are in milliseconds of this controller's steady clock; the controller started at [startedAtMs]. Not thread-safe.
+ */
 class PeerFailureDetector(
     private val startedAtMs: Long,
 ) {
@@ -11,16 +16,16 @@
         val atMs: Long,
     )
 
-    private val recordContact = HashMap<String, Contact>()
+    private val lastContact = HashMap<String, Contact>()
     private val refusedAtMs = HashMap<String, Long>()
 
-    /** A note of [peer] has come. */
+    /** A status message of [peer] has arrived. [storeServes]: the store serves that peer. */
     fun recordContact(
         peer: String,
         storeServes: Boolean,
         nowMs: Long,
     ) {
-        recordContact[peer] = Contact(storeServes, nowMs)
+        lastContact[peer] = Contact(storeServes, nowMs)
     }
 
     /** [peer] refused a connection. */
@@ -33,39 +38,39 @@
 
     private fun Contact.isFresh(nowMs: Long) = nowMs - atMs < PeerConstants.PEER_STATUS_TIMEOUT_MS
 
-    /** Whether [peer] has been heard lately. */
+    /** Whether a message of [peer] has arrived lately. */
     fun isReachable(
         peer: String,
         nowMs: Long,
-    ): Boolean = recordContact[peer]?.isFresh(nowMs) ?: false
+    ): Boolean = lastContact[peer]?.isFresh(nowMs) ?: false
 
-    /** Whether any peer has been heard lately. */
-    fun isAnyReachable(nowMs: Long): Boolean = recordContact.values.any { it.isFresh(nowMs) }
+    /** Whether a message of any peer has arrived lately. */
+    fun isAnyReachable(nowMs: Long): Boolean = lastContact.values.any { it.isFresh(nowMs) }
 
-    /** A peer other than [leader] that has been heard lately. */
+    /** A reachable peer other than [leader], or null. */
     fun reachablePeerExcept(
         leader: String,
         nowMs: Long,
-    ): String? = recordContact.entries.firstOrNull { it.key != leader && it.value.isFresh(nowMs) }?.key
+    ): String? = lastContact.entries.firstOrNull { it.key != leader && it.value.isFresh(nowMs) }?.key
 
-    /** A peer that has been heard lately and that the store serves. */
-    fun served(nowMs: Long): String? = recordContact.entries.firstOrNull { it.value.storeServes && it.value.isFresh(nowMs) }?.key
+    /** A reachable peer that the store serves, or null. */
+    fun servedPeer(nowMs: Long): String? = lastContact.entries.firstOrNull { it.value.storeServes && it.value.isFresh(nowMs) }?.key
 
-    /** Whether [peer] has been heard lately, and the store serves it. */
+    /** Whether [peer] is reachable and the store serves it. */
     fun isServed(
         peer: String,
         nowMs: Long,
-    ): Boolean = isReachable(peer, nowMs) && recordContact.getValue(peer).storeServes
+    ): Boolean = isReachable(peer, nowMs) && lastContact.getValue(peer).storeServes
 
     /**
-     * Whether [peer] has been silent for longer than a restart takes; right after the start of this controller none is. One that
-     * refuses connections is not silent: whoever tries it there is told at once.
+     * Whether [peer] has been silent for longer than a restart takes; right after the start of this controller no peer has. One that
+     * refuses connections is not silent: a worker that tries it learns so at once.
      */
     fun isUnreachable(
         peer: String,
         nowMs: Long,
     ): Boolean {
         if (nowMs - (refusedAtMs[peer] ?: startedAtMs) < PeerConstants.PEER_STATUS_TIMEOUT_MS) return false
-        return nowMs - (recordContact[peer]?.atMs ?: startedAtMs) > PeerConstants.PEER_UNREACHABLE_AFTER_MS
+        return nowMs - (lastContact[peer]?.atMs ?: startedAtMs) > PeerConstants.PEER_UNREACHABLE_AFTER_MS
     }
 }
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -2,35 +2,40 @@
 
 import mintfield.core.constants.PeerConstants
 
-/** Whether the store serves this controller, by what became of its calls. */
+/** Whether the store serves this controller, by the outcomes of its calls. All times are in steady milliseconds. Not thread-safe. */
 class StoreConnectivity {
     private var unservedSinceMs: Long? = null
     private var noAnswerSinceMs: Long? = null
 
-    /** Whether it served the last call. */
+    /** Whether the store served the last call. */
     val served: Boolean get() = unservedSinceMs == null
 
-    /** It did its work. */
+    /** The store has carried out a call. */
     fun served() {
         unservedSinceMs = null
         noAnswerSinceMs = null
     }
 
-    /** It answered, and refused. */
+    /** The store has answered a call and refused it. */
     fun refused(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
         noAnswerSinceMs = null
     }
 
-    /** There was no answer. */
+    /** A call got no answer. */
     fun noAnswer(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
         noAnswerSinceMs = noAnswerSinceMs ?: nowMs
     }
 
-    /** Whether it has not served this controller for a while. */
-    fun unservedForLong(nowMs: Long): Boolean = unservedSinceMs?.let { nowMs - it > PeerConstants.STORE_UNAVAILABLE_MS } ?: false
+    /** Whether the store has not served this controller for a while. */
+    fun unservedForLong(nowMs: Long): Boolean = hasLasted(unservedSinceMs, nowMs)
 
-    /** Whether nothing at all has come from it for a while: unlike an outage, in which it refuses, this is a cut. */
-    fun cut(nowMs: Long): Boolean = noAnswerSinceMs?.let { nowMs - it > PeerConstants.STORE_UNAVAILABLE_MS } ?: false
+    /** Whether nothing at all has come from the store for a while: unlike an outage, in which it refuses, this is a partition. */
+    fun unreachableForLong(nowMs: Long): Boolean = hasLasted(noAnswerSinceMs, nowMs)
+
+    private fun hasLasted(
+        sinceMs: Long?,
+        nowMs: Long,
+    ): Boolean = sinceMs != null && nowMs - sinceMs > PeerConstants.STORE_UNAVAILABLE_MS
 }
