--- a/src/main/kotlin/mintfield/core/jobs/AbsenceProof.kt
+++ b/src/main/kotlin/mintfield/core/jobs/AbsenceProof.kt
@@ -9,4 +9,4 @@
  * A direct start that got no answer may be carried out minutes later. Only a worker that has seen a term above that of the
  * start rejects it.
  */
-internal fun Heartbeat.provesAbsence(machine: Machine): Boolean = termSeen > machine.unacknowledgedTerm && !machine.directInFlight
+internal fun Heartbeat.provesAbsence(machine: Machine): Boolean = termSeen > machine.fencing.unacknowledged && !machine.directRoute.inFlight
--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -2,6 +2,7 @@
 
 import mintfield.core.Cluster
 import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.fleet.ForeignTask
 import mintfield.core.fleet.Machine
 import mintfield.core.model.ExitReason
@@ -33,7 +34,7 @@
         nowMs: Long,
     ): List<WorkerCommand> {
         val heartbeat = machine.lastHeartbeat ?: return emptyList()
-        if (machine.reconciled) {
+        if (machine.occupancy.reconciled) {
             if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), emptyList())
             return emptyList()
         }
@@ -42,7 +43,7 @@
         val started = response.addStarts()
         if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), started)
         if (!response.commands.isEmpty) return response.commands.inOrder()
-        machine.reconciled = response.leavesNothingToDo()
+        machine.occupancy.markReconciled(response.leavesNothingToDo())
         return emptyList()
     }
 
@@ -67,7 +68,7 @@
             when {
                 foreign != null -> addForForeign(foreign, status)
                 attempt != null -> addForPlanned(attempt, status)
-                job != null || nowMs - machine.adoptedAtMs >= ShardingConstants.FOREIGN_TASK_GRACE_MS -> addForUnplanned(job, status)
+                job != null || nowMs - machine.origin.adoptedAtMs >= ShardingConstants.FOREIGN_TASK_GRACE_MS -> addForUnplanned(job, status)
                 // On a machine that was handed over lately it may be a foreign task that this leader has not been told of yet.
             }
         }
@@ -80,7 +81,7 @@
             if (foreign.ended) {
                 if (viaHeartbeat && foreign.acknowledgeWanted) commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
             } else if (foreign.stopWanted || isCancelled(status.task.job)) {
-                if (foreign.stopSentAtMs == 0L) foreign.stopSentAtMs = nowMs
+                foreign.stopSent(nowMs)
                 commands.add(WorkerCommand.Stop(status.task, status.attempt, graceS = 0.0))
             }
         }
@@ -105,7 +106,7 @@
                 // After an acknowledgement the worker does not know the attempt any more, and a late start would run it again.
                 if (provesAbsence) {
                     commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
-                } else if (machine.unacknowledgedTerm >= cluster.token(machine)) {
+                } else if (machine.fencing.unacknowledged >= cluster.token(machine)) {
                     cluster.raiseWanted = true
                 }
             }
@@ -146,8 +147,8 @@
             val spec = attempt.job.spec
             if (attempt.job.cancelled || spec.checkpointS <= 0) return 0.0
             val fullGraceS = spec.saveS * GRACE_FACTOR
-            if (nowMs - attempt.changedAtMs > fullGraceS * MS_PER_S + GRACE_SLACK_MS) return 0.0
-            return if (machine.terminationAtMs == null) fullGraceS else spec.saveS
+            if (nowMs - attempt.changedAtMs > fullGraceS * TimeUnits.MS_PER_SECOND + GRACE_SLACK_MS) return 0.0
+            return if (machine.heartbeats.terminationAtMs == null) fullGraceS else spec.saveS
         }
     }
 
@@ -163,6 +164,5 @@
 
         /** Milliseconds beyond its grace after which a stopped task is stopped without grace. */
         const val GRACE_SLACK_MS = 3_000L
-        const val MS_PER_S = 1000
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -59,18 +59,18 @@
         machine.state == MachineState.UP &&
             !isCallPending(machine, nowMs) &&
             isDirectRouteLikely(machine, nowMs) &&
-            machine.unacknowledgedTerm < cluster.token(machine) &&
+            machine.fencing.unacknowledged < cluster.token(machine) &&
             cluster.ownership.mayStart(machine.id)
 
     private fun isCallPending(
         machine: Machine,
         nowMs: Long,
-    ): Boolean = machine.directInFlight || nowMs < machine.directPausedUntilMs
+    ): Boolean = machine.directRoute.inFlight || nowMs < machine.directRoute.pausedUntilMs
 
     private fun isDirectRouteLikely(
         machine: Machine,
         nowMs: Long,
-    ): Boolean = (!machine.relayed || machine.viaRelayPeer) && nowMs - machine.lastHeartbeatAtMs <= cluster.timings.heartbeatTimeoutMs
+    ): Boolean = !machine.directRoute.isUnlikely && nowMs - machine.heartbeats.lastUnpromptedAtMs <= cluster.timings.heartbeatTimeoutMs
 
     /** A call with the starts planned since the worker's last heartbeat, and the stops that make room for them; null without starts. */
     private fun startCall(
@@ -79,10 +79,10 @@
     ): DirectCall? {
         if (machine.count(AttemptState.PLANNED) == 0) return null
         if (machine.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) return null
-        val address = machine.address ?: return null
+        val address = machine.heartbeats.address ?: return null
         val commands = commandPlanner.commands(machine, viaHeartbeat = false, nowMs)
         if (commands.none { it is WorkerCommand.Start }) return null
-        machine.directInFlight = true
+        machine.directRoute.callStarted()
         return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, commands)
     }
 
@@ -91,9 +91,9 @@
         machine: Machine,
         nowMs: Long,
     ): DirectCall? {
-        val address = machine.address ?: return null
-        machine.directInFlight = true
-        machine.directPausedUntilMs = nowMs + WorkerConstants.UNREACHABLE_PROBE_MS
+        val address = machine.heartbeats.address ?: return null
+        machine.directRoute.callStarted()
+        machine.directRoute.pauseUntil(nowMs + WorkerConstants.UNREACHABLE_PROBE_MS)
         return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, emptyList())
     }
 
@@ -104,7 +104,7 @@
         nowMs: Long,
     ) {
         val machine = cluster.machines[call.machine] ?: return
-        machine.directInFlight = false
+        machine.directRoute.callEnded()
         unanswered = 0
         if (heartbeat != null && heartbeat.machine == machine.id) reconciler.reconcile(machine, heartbeat, viaHeartbeat = false, nowMs)
     }
@@ -116,15 +116,15 @@
         nowMs: Long,
     ) {
         val machine = cluster.machines[call.machine] ?: return
-        machine.directInFlight = false
+        machine.directRoute.callEnded()
         if (call.commands.isEmpty()) return
         unanswered++
         if (unanswered == WorkerConstants.DIRECT_PATH_LOST_AFTER) {
             log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
         }
-        machine.directPausedUntilMs = nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS
+        machine.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
-        if (sent) machine.unacknowledgedTerm = maxOf(machine.unacknowledgedTerm, call.term)
+        if (sent) machine.fencing.recordUnacknowledged(call.term)
         log("no answer from ${machine.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -21,9 +21,7 @@
         machine: Machine,
         nowMs: Long,
     ) {
-        machine.failures = 0
-        machine.attributedFailures = 0
-        machine.suspectJobs.clear()
+        machine.failureRecord.succeeded()
         job.failureRecord.recordSuccess()
         if (job.health != JobHealth.HEALTHY) becameHealthy(job, nowMs)
     }
@@ -37,10 +35,7 @@
     ) {
         job.failureRecord.recordFailure(machine, ranMs, nowMs)
         when (job.health) {
-            JobHealth.HEALTHY -> {
-                machine.failures++
-                machine.attributedFailures++
-            }
+            JobHealth.HEALTHY -> machine.failureRecord.failedByMachine()
 
             JobHealth.SUSPECT -> {
                 job.failureRecord.probeFailed(nowMs)
@@ -48,20 +43,20 @@
             }
 
             JobHealth.UNKNOWN -> {
-                machine.failures++
-                machine.suspectJobs.add(job.id)
+                machine.failureRecord.failedForUnknownCause(job.id)
                 job.failureRecord.addUnattributed(machine)
                 cluster.unprovenJobs.add(job)
                 if (hasFailedOnSoundMachines(job)) return becameSuspect(job, nowMs)
             }
         }
-        if (machine.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= machine.quarantinedUntilMs) quarantine(machine, nowMs)
+        val record = machine.failureRecord
+        if (record.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= record.quarantinedUntilMs) quarantine(machine, nowMs)
     }
 
     private fun hasFailedOnSoundMachines(job: Job): Boolean {
         val soundMachines =
             job.failureRecord.unattributedFailures.keys
-                .count { it.attributedFailures == 0 }
+                .count { it.failureRecord.attributedFailures == 0 }
         return soundMachines >= PlacementConstants.SUSPECT_JOB_MACHINES
     }
 
@@ -70,10 +65,11 @@
         machine: Machine,
         nowMs: Long,
     ) {
-        val certain = machine.attributedFailures > 0 || machine.suspectJobs.size >= 2
-        val causes = "${machine.attributedFailures} attributed to it, the rest to ${machine.suspectJobs.size} unproven jobs"
-        log("${machine.id} fails ${machine.failures} tasks in a row, $causes: quarantined${if (certain) "" else " for a moment"}")
-        machine.quarantinedUntilMs = nowMs + if (certain) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS
+        val record = machine.failureRecord
+        val certain = record.attributedFailures > 0 || record.suspectJobs >= 2
+        val causes = "${record.attributedFailures} attributed to it, the rest to ${record.suspectJobs} unproven jobs"
+        log("${machine.id} fails ${record.failures} tasks in a row, $causes: quarantined${if (certain) "" else " for a moment"}")
+        record.quarantineUntil(nowMs + if (certain) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS)
     }
 
     private fun becameSuspect(
@@ -83,11 +79,7 @@
         val record = job.failureRecord
         log("${job.id}: suspect, failed ${record.failures} times on ${record.failedOn.size} machines: probed with few tasks from now on")
         record.becomeSuspect(nowMs)
-        for ((machine, failures) in record.unattributedFailures) {
-            if (!machine.suspectJobs.remove(job.id)) continue
-            machine.failures = maxOf(0, machine.failures - failures)
-            if (machine.suspectJobs.isEmpty() && machine.attributedFailures == 0) machine.quarantinedUntilMs = nowMs
-        }
+        for ((machine, failures) in record.unattributedFailures) machine.failureRecord.attributeToJob(job.id, failures, nowMs)
         record.clearUnattributed()
         // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
         job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
@@ -102,9 +94,7 @@
         if (job.health == JobHealth.SUSPECT) log("${job.id}: healthy, it runs in full again")
         record.becomeHealthy(nowMs)
         cluster.unprovenJobs.remove(job)
-        for ((machine, failures) in record.unattributedFailures) {
-            if (machine.suspectJobs.remove(job.id)) machine.attributedFailures += failures
-        }
+        for ((machine, failures) in record.unattributedFailures) machine.failureRecord.attributeToMachine(job.id, failures)
         record.clearUnattributed()
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -2,6 +2,7 @@
 
 import mintfield.core.Cluster
 import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.fleet.ForeignTask
 import mintfield.core.fleet.Machine
@@ -40,29 +41,18 @@
         viaHeartbeat: Boolean,
         nowMs: Long,
     ): Boolean {
-        if (!isNewer(machine, heartbeat)) return false
+        if (!machine.heartbeats.isSucceededBy(heartbeat)) return false
         updateReachability(machine, heartbeat, viaHeartbeat, nowMs)
         if (heartbeat.incarnation > machine.incarnation) startIncarnation(machine, heartbeat, nowMs)
         // Decoders keep a list of tasks that has not changed, so that the same list need not be reconciled twice.
-        val unchanged = machine.reconciled && heartbeat.tasks === machine.lastHeartbeat?.tasks
+        val unchanged = machine.occupancy.reconciled && heartbeat.tasks === machine.lastHeartbeat?.tasks
         update(machine, heartbeat, nowMs)
         if (unchanged) return true
-        machine.reconciled = false
+        machine.occupancy.markReconciled(false)
         reconcileTasks(machine, heartbeat, viaHeartbeat, nowMs)
         return true
     }
 
-    /** Heartbeats of a machine are ordered by incarnation and sequence; a late copy is older than what came before it. */
-    private fun isNewer(
-        machine: Machine,
-        heartbeat: Heartbeat,
-    ): Boolean =
-        if (heartbeat.incarnation == machine.incarnation) {
-            heartbeat.sequence > machine.sequence
-        } else {
-            heartbeat.incarnation > machine.incarnation
-        }
-
     private fun updateReachability(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -71,9 +61,9 @@
     ) {
         val changed =
             if (viaHeartbeat) {
-                machine.lastHeartbeatAtMs = nowMs
-                val leaseMs = (cluster.settings.leaseS * MS_PER_S).toLong()
-                machine.reachability.onHeartbeat(machine, heartbeat, leaseMs, nowMs)
+                machine.heartbeats.recordUnprompted(nowMs)
+                val leaseMs = (cluster.settings.leaseS * TimeUnits.MS_PER_SECOND).toLong()
+                machine.reachability.onHeartbeat(machine.heartbeats, heartbeat, leaseMs, nowMs)
             } else {
                 machine.reachability.confirmDelivery(nowMs)
             }
@@ -91,7 +81,7 @@
         if (reachability.state == ReachabilityState.REACHABLE && reachability.episodes > 0) {
             val doublings = minOf(reachability.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
             val backoffMs = WorkerConstants.REACHABLE_BACKOFF_MS shl doublings
-            machine.backoffUntilMs = maxOf(machine.backoffUntilMs, nowMs + backoffMs)
+            machine.failureRecord.backOffUntil(nowMs + backoffMs)
             log("${machine.id}: reachable again, new tasks in $backoffMs ms")
         }
     }
@@ -107,10 +97,8 @@
             .filter { it.incarnation < incarnation }
             .forEach { cluster.release(it, nowMs, "incarnation $incarnation started") }
         if (machine.incarnation != 0L) log("${machine.id}: lease expired, incarnation $incarnation started, its tasks are lost")
-        machine.incarnation = incarnation
-        // The new lease began with the incarnation. By the last response alone it would be taken for expired too early.
-        machine.leaseRenewedAtMs = maxOf(machine.leaseRenewedAtMs, nowMs)
-        machine.sequence = 0
+        machine.heartbeats.startIncarnation(incarnation)
+        machine.lease.restart(nowMs)
     }
 
     private fun update(
@@ -118,13 +106,8 @@
         heartbeat: Heartbeat,
         nowMs: Long,
     ) {
-        machine.sequence = heartbeat.sequence
-        machine.termSeen = maxOf(machine.termSeen, heartbeat.termSeen)
-        machine.address = heartbeat.address
-        machine.lastContactAtMs = nowMs
-        machine.lastHeartbeat = heartbeat
+        machine.heartbeats.record(heartbeat, nowMs)
         machine.foreignTasks.replace(foreignTasks(heartbeat))
-        machine.terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * MS_PER_S).toLong() }
         if (machine.state == MachineState.PROVISIONING || machine.state == MachineState.UNRESPONSIVE) machine.moveTo(MachineState.UP, nowMs)
     }
 
@@ -205,7 +188,7 @@
         if (attempt.state == AttemptState.PULLING && spec.shape == Shape.SERVICE) {
             log("${spec.id}/${attempt.index} runs on ${attempt.machine.id} after ${nowMs - attempt.changedAtMs} ms for its image")
         }
-        attempt.machine.imageUsed(spec.image, spec.imageGb)
+        attempt.machine.images.markPresent(spec.image, spec.imageGb)
         when (attempt.state) {
             AttemptState.PLANNING, AttemptState.STOPPING, AttemptState.RUNNING -> return
             else -> {
@@ -234,9 +217,9 @@
         nowMs: Long,
     ) {
         val job = attempt.job
-        attempt.machine.imageUsed(job.spec.image, job.spec.imageGb)
+        attempt.machine.images.markPresent(job.spec.image, job.spec.imageGb)
         failureAttribution.succeeded(job, attempt.machine, nowMs)
-        if (attempt.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - attempt.changedAtMs) / MS_PER_S)
+        if (attempt.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - attempt.changedAtMs) / TimeUnits.MS_PER_SECOND.toDouble())
         cluster.markDone(job, attempt.index, nowMs)
         cluster.release(attempt, nowMs, Cluster.DONE)
     }
@@ -248,7 +231,7 @@
     ) {
         val machine = attempt.machine
         cluster.release(attempt, nowMs, "refused: $cause")
-        machine.backoffUntilMs = maxOf(machine.backoffUntilMs, nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
+        machine.failureRecord.backOffUntil(nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
     }
 
     private fun failed(
@@ -275,7 +258,7 @@
             }
         if (provesAbsence) {
             cluster.release(attempt, nowMs, proof)
-        } else if (attempt.machine.unacknowledgedTerm >= cluster.token(attempt.machine)) {
+        } else if (attempt.machine.fencing.unacknowledged >= cluster.token(attempt.machine)) {
             cluster.raiseWanted = true
         }
     }
@@ -291,8 +274,4 @@
         cluster.markDone(job, index, nowMs)
         job.attempt(index)?.let { cluster.stop(it, nowMs, "done elsewhere") }
     }
-
-    private companion object {
-        const val MS_PER_S = 1000.0
-    }
 }
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -25,7 +25,7 @@
     internal val coverage = RoundCoverage()
 
     /** Its failures and its health. */
-    val failureRecord = FailureRecord(spec.id)
+    val failureRecord = JobFailureRecord(spec.id)
 
     // ---- its record in the store ----
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobFailureRecord.kt
@@ -7,7 +7,7 @@
  * The failures of one job, its health and when it may be tried again: a circuit breaker that probes a suspect job, half-open, with
  * few tasks. [FailureAttribution] decides on its changes.
  */
-class FailureRecord(
+class JobFailureRecord(
     private val jobId: String,
 ) {
     private val machines = HashSet<String>()
--- a/src/main/kotlin/mintfield/core/leadership/LeaseRenewalLimit.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaseRenewalLimit.kt
@@ -2,6 +2,7 @@
 
 import mintfield.core.constants.LeadershipConstants
 import mintfield.core.constants.PeerConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.model.Settings
 
 /**
@@ -14,12 +15,9 @@
 ) {
     /** Milliseconds from the watermark to the last renewal of a worker. */
     private val limitMs =
-        ((settings.cancelS - settings.leaseS * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)) * MS_PER_S).toLong() - PeerConstants.LEASE_RENEWAL_MARGIN_MS
+        ((settings.cancelS - settings.leaseS * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)) * TimeUnits.MS_PER_SECOND).toLong() -
+            PeerConstants.LEASE_RENEWAL_MARGIN_MS
 
     /** Whether a worker may be renewed [sinceKnownMs] milliseconds after the watermark. */
     fun allows(sinceKnownMs: Long): Boolean = sinceKnownMs < limitMs
-
-    private companion object {
-        const val MS_PER_S = 1000.0
-    }
 }
