--- a/src/main/kotlin/mintfield/core/jobs/Attempt.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Attempt.kt
@@ -2,30 +2,6 @@
 
 import mintfield.core.fleet.Machine
 
-/** The state of an [Attempt]. */
-enum class AttemptState {
-    /** Chosen; the write of the plan is under way. Nothing may be sent. */
-    PLANNING,
-
-    /** The plan is written; a start may be sent, and repeated. */
-    PLANNED,
-
-    /** A start was sent; nothing has been seen of it. */
-    STARTING,
-
-    /** Reported as waiting for its image. */
-    PULLING,
-
-    /** Reported as running. */
-    RUNNING,
-
-    /** To be gone: stopped wherever it shows up, released once it is proven to be absent. */
-    STOPPING,
-
-    /** Released by proof, or never sent. Final. */
-    RELEASED,
-}
-
 /** One try of a task on one machine. It occupies the machine from the plan until its release. */
 class Attempt(
     val job: Job,
