--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -106,7 +106,7 @@
                 // After an acknowledgement the worker does not know the attempt any more, and a late start would run it again.
                 if (provesAbsence) {
                     commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
-                } else if (machine.fencing.unacknowledged >= cluster.token(machine)) {
+                } else if (machine.lease.unacknowledgedTerm >= cluster.token(machine)) {
                     cluster.raiseWanted = true
                 }
             }
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -40,7 +40,7 @@
         val calls = ArrayList<DirectCall>()
         for (machine in cluster.machines.values) {
             if (calls.size >= limit) break
-            if (!mayCall(machine, nowMs)) continue
+            if (!hasReasonToCall(machine) || !mayCall(machine, nowMs)) continue
             val call =
                 when {
                     machine.reachability.state != ReachabilityState.UNREACHABLE -> startCall(machine, nowMs)
@@ -52,6 +52,10 @@
         return calls
     }
 
+    /** Asked first, since it passes over most of thousands of machines. */
+    private fun hasReasonToCall(machine: Machine): Boolean =
+        machine.count(AttemptState.PLANNED) > 0 || machine.reachability.state == ReachabilityState.UNREACHABLE
+
     private fun mayCall(
         machine: Machine,
         nowMs: Long,
@@ -59,7 +63,7 @@
         machine.state == MachineState.UP &&
             !isCallPending(machine, nowMs) &&
             isDirectRouteLikely(machine, nowMs) &&
-            machine.fencing.unacknowledged < cluster.token(machine) &&
+            machine.lease.unacknowledgedTerm < cluster.token(machine) &&
             cluster.ownership.mayStart(machine.id)
 
     private fun isCallPending(
@@ -77,7 +81,6 @@
         machine: Machine,
         nowMs: Long,
     ): DirectCall? {
-        if (machine.count(AttemptState.PLANNED) == 0) return null
         if (machine.attempts.none { it.state == AttemptState.PLANNED && !it.job.cancelled }) return null
         val address = machine.heartbeats.address ?: return null
         val commands = commandPlanner.commands(machine, viaHeartbeat = false, nowMs)
@@ -124,7 +127,7 @@
         }
         machine.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
         // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
-        if (sent) machine.fencing.recordUnacknowledged(call.term)
+        if (sent) machine.lease.recordUnacknowledged(call.term)
         log("no answer from ${machine.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -107,7 +107,7 @@
         nowMs: Long,
     ) {
         machine.heartbeats.record(heartbeat, nowMs)
-        machine.foreignTasks.replace(foreignTasks(heartbeat))
+        machine.occupancy.replaceForeignTasks(foreignTasks(heartbeat))
         if (machine.state == MachineState.PROVISIONING || machine.state == MachineState.UNRESPONSIVE) machine.moveTo(MachineState.UP, nowMs)
     }
 
@@ -258,7 +258,7 @@
             }
         if (provesAbsence) {
             cluster.release(attempt, nowMs, proof)
-        } else if (attempt.machine.fencing.unacknowledged >= cluster.token(attempt.machine)) {
+        } else if (attempt.machine.lease.unacknowledgedTerm >= cluster.token(attempt.machine)) {
             cluster.raiseWanted = true
         }
     }
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -110,7 +110,7 @@
             patienceS: Double,
         ) {
             val most = minOf(maxTasksOfJob, maxTasks - planned)
-            val allowed = minOf(most, cluster.allowance(job.spec), job.schedulableTasks)
+            val allowed = minOf(most, cluster.quotas.allowance(job.spec), job.schedulableTasks)
             if (allowed <= 0 || exhausted.covers(job, worstImage, patienceS)) return
             val found = placement.place(job, candidates(job), allowed, worstImage, patienceS)
             if (found < allowed) exhausted.add(job, worstImage, patienceS)
