--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -54,7 +54,7 @@
     }
 
     /** The peer to which workers are redirected while the controller that they would try after this one is unreachable; else null. */
-    fun relayPeer(): String? = relaySelector.place(health::isUnreachable, health::isReachable)
+    fun relayPeer(): String? = relaySelector.relayPeer(health::isUnreachable, health::isReachable)
 
     private suspend fun answerDirect(
         leader: Leader,
@@ -63,7 +63,7 @@
         val routes = leader.routes
         routes.directHeartbeat(heartbeat)
         val peer = relayPeer()
-        if (peer != null && routes.hasHeardFrom(heartbeat) && relaySelector.send(heartbeat.machine, routes.wasRelayed(heartbeat), loop.nowMs())) {
+        if (peer != null && routes.hasHeardFrom(heartbeat) && relaySelector.shouldRedirect(heartbeat.machine, routes.wasRelayed(heartbeat), loop.nowMs())) {
             return redirect(peer)
         }
         return answer(leader, heartbeat, relayed = false)
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -128,7 +128,7 @@
             CommitResult.Unknown -> {
                 planJournal.putBack(commit.writes, nowMs)
                 // Its round records may be there all the same, and must be deleted in the end if they are.
-                commit.writes.forEach { if (it is Write.RecordRound) planJournal.obsoleteRounds.add(it.key) }
+                commit.writes.forEach { if (it is Write.RecordRound) planJournal.deleteLater(it.key) }
                 raiseNow = true
             }
         }
@@ -143,7 +143,7 @@
         // The replica may have told of the change before the answer came; then nothing else will reset `finishing`.
         if (job.revision != guardedRevision) return
         job.activeAttempts.filter { it.state == AttemptState.PLANNING }.forEach { cluster.stop(it, nowMs, "the job changed") }
-        job.finishing = true
+        job.finish()
     }
 
     private fun written(
@@ -153,7 +153,7 @@
     ) {
         when (write) {
             is Write.RecordRound -> planJournal.written(write, revision, nowMs)
-            is Write.DeleteRound -> planJournal.obsoleteRounds.remove(write.key)
+            is Write.DeleteRound -> planJournal.deleted(write.key)
             is Write.FinishJob -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
                 log("${write.job.id}: cancelled with a predecessor")
@@ -179,7 +179,7 @@
         job: Job,
         nowMs: Long,
     ) {
-        job.finishing = true
+        job.finish()
         val placementS = seconds(job.lastPlanAtMs - job.firstSeenAtMs)
         val imageS = seconds(maxOf(0, job.lastRunAtMs - job.lastPlanAtMs))
         val runS = seconds(nowMs - maxOf(job.lastRunAtMs, job.lastPlanAtMs))
--- a/src/main/kotlin/mintfield/core/JobLifecycle.kt
+++ b/src/main/kotlin/mintfield/core/JobLifecycle.kt
@@ -25,9 +25,7 @@
             return
         }
         if (accepted.revision <= job.revision) return
-        job.revision = accepted.revision
-        job.finishing = false
-        job.cancellationRecorded = accepted.cancelled
+        job.recordChanged(accepted)
         if (accepted.cancelled && !job.cancelled) cancel(job, nowMs)
     }
 
@@ -69,9 +67,7 @@
         val job = cluster.jobs.remove(id) ?: return
         cluster.unprovenJobs.remove(job)
         cluster.cancelledByDependency.remove(job)
-        job.coveringRounds.keys
-            .toList()
-            .forEach { planJournal.superseded(job, it, Long.MAX_VALUE) }
+        planJournal.jobRemoved(job)
         // Jobs without tasks are not logged: after a failover most of them may be gone at once.
         if (job.activeAttempts.isNotEmpty()) log("$id: gone from the store, ${job.activeAttempts.size} tasks are left to their workers' heartbeats")
         for (attempt in job.activeAttempts.toList()) cluster.release(attempt, nowMs, Cluster.DESCRIBED_ANEW)
@@ -90,7 +86,7 @@
         job: Job,
         nowMs: Long,
     ) {
-        job.cancelled = true
+        job.cancel()
         log("${job.id}: cancelled, ${job.activeAttempts.size} tasks to stop")
         cluster.stopAll(job, nowMs)
     }
--- a/src/main/kotlin/mintfield/core/KnownCancellations.kt
+++ b/src/main/kotlin/mintfield/core/KnownCancellations.kt
@@ -21,5 +21,5 @@
     }
 
     /** Marks the replayed jobs whose cancellation peers confirmed before the end of the replay. */
-    fun applyToReplayedJobs() = confirmedBeforeReplay.forEach { cluster.jobs[it]?.cancelled = true }
+    fun applyToReplayedJobs() = confirmedBeforeReplay.forEach { cluster.jobs[it]?.cancel() }
 }
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -67,8 +67,7 @@
         cluster.replayedAtMs = nowMs
         // What was replayed is written already.
         for (job in cluster.jobs.values) {
-            job.changed.clear()
-            job.unwrittenSinceMs = 0
+            job.progress.unwritten.clear()
         }
         cancellations.applyToReplayedJobs()
         for (job in cluster.jobs.values) if (job.cancelled) cluster.stopAll(job, nowMs)
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -37,7 +37,7 @@
             imageGb.putAll(cached)
             if (cached.isNotEmpty()) machineImages[machine.id] = cached.keys.toList()
         }
-        val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.probes }
+        val suspectJobs = cluster.unprovenJobs.filter { it.health == JobHealth.SUSPECT }.associate { it.id to it.failureRecord.probes }
         return LearnedState(imageGb, machineImages, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
 
--- a/src/main/kotlin/mintfield/core/RoundTrigger.kt
+++ b/src/main/kotlin/mintfield/core/RoundTrigger.kt
@@ -31,7 +31,7 @@
             lastReplicaRoundMs = nowMs
             cluster.roundWanted = false
             inheritedUrgency.refresh(nowMs, wallMs)
-            failureAttribution.look(nowMs)
+            failureAttribution.checkUnprovenJobs(nowMs)
             round.run(nowMs, wallMs, maxTasks)
             return
         }
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -6,6 +6,7 @@
 import mintfield.core.fleet.FleetManager
 import mintfield.core.fleet.ListedMachine
 import mintfield.core.fleet.ZoneFencing
+import mintfield.core.jobs.CommandPlanner
 import mintfield.core.jobs.DirectCommands
 import mintfield.core.jobs.HeartbeatReconciler
 import mintfield.core.jobs.PlanJournal
@@ -39,14 +40,15 @@
     val fleet = FleetManager(cluster, log)
     val zoneFencing = ZoneFencing(cluster, log)
     private val cancellations = KnownCancellations(cluster, isRecordedAsCancelled)
-    internal val reconciler = HeartbeatReconciler(cluster, cancellations::isKnown, log)
+    internal val reconciler = HeartbeatReconciler(cluster, log)
+    private val commandPlanner = CommandPlanner(cluster, cancellations::isKnown)
     private val planJournal = PlanJournal(cluster, fleet)
 
     /** Restores what earlier leaders have recorded. */
     val replay = LeaderReplay(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, cancellations)
     private val jobs = JobLifecycle(cluster, dependencies, planJournal, cancellations, replay, log)
-    internal val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, cancellations, replay)
-    private val directCommands = DirectCommands(cluster, reconciler, log)
+    internal val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, commandPlanner, cancellations, replay)
+    private val directCommands = DirectCommands(cluster, reconciler, commandPlanner, log)
     private val commits =
         CommitPlanner(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, InheritedUrgency(cluster, dependencies), jobs::removed, log)
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -4,137 +4,121 @@
 import mintfield.core.constants.PlacementConstants
 import mintfield.core.fleet.Machine
 
-/** What is believed of a job, by how its tasks end. */
-enum class JobHealth {
-    /** No task has succeeded or failed often enough to tell. */
-    UNKNOWN,
-
-    /** A task is done, or has run for much longer than others took to fail: failures are their machines'. */
-    HEALTHY,
-
-    /** It fails wherever it is tried, as a job submitted with a mistake does: it is tried with few tasks, ever more slowly. */
-    SUSPECT,
-}
-
 /**
- * Whether a failure is the job's or the machine's. The first failures of a job accuse both. Once a task of it succeeds, the
- * machines that failed it are blamed; once it has failed on several machines with no success anywhere, they are cleared.
- * Without that, two broken jobs on one rack scheduled for release it, and a broken job of hundreds of tasks took that many slots and
- * image fetches with every try.
+ * Attributes failures of tasks to their jobs or to their machines.
+ *
+ * The first failures of a job count against both. Once a task of the job succeeds, they are attributed to the machines; once the job
+ * has failed on several machines with no success anywhere, to the job, and the machines are cleared. So a broken job neither
+ * gets sound machines released nor takes slots and image fetches for all of its tasks with each try.
  */
 class FailureAttribution(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
+    /** A task of [job] has succeeded on [machine]. */
     fun succeeded(
         job: Job,
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
     ) {
-        m.failureRecord.succeeded()
-        job.failures = 0
-        if (job.health != JobHealth.HEALTHY) clear(job, nowMs)
+        machine.failureRecord.succeeded()
+        job.failureRecord.recordSuccess()
+        if (job.health != JobHealth.HEALTHY) becameHealthy(job, nowMs)
     }
 
-    /** A task of [job] failed on [m], [afterMs] after it was first seen to run. */
+    /** A task of [job] has failed on [machine], [ranMs] after it was first seen to run. */
     fun failed(
         job: Job,
-        m: Machine,
-        afterMs: Long,
+        machine: Machine,
+        ranMs: Long,
         nowMs: Long,
     ) {
-        job.failures++
-        job.failedOn.add(m.id)
-        job.longestFailMs = maxOf(job.longestFailMs, afterMs)
-        job.notBeforeMs = nowMs + PlacementConstants.FAILURE_BACKOFF_MS
+        job.failureRecord.recordFailure(machine, ranMs, nowMs)
         when (job.health) {
-            JobHealth.HEALTHY -> {
-                m.failureRecord.failedByMachine()
-            }
+            JobHealth.HEALTHY -> machine.failureRecord.failedByMachine()
 
             JobHealth.SUSPECT -> {
-                job.notBeforeMs =
-                    nowMs + minOf(PlacementConstants.PROBE_BACKOFF_MS shl minOf(job.probes++, MOST_DOUBLINGS), PlacementConstants.MAX_PROBE_BACKOFF_MS)
+                job.failureRecord.probeFailed(nowMs)
                 return
             }
 
             JobHealth.UNKNOWN -> {
-                m.failureRecord.failedForUnknownCause(job.id)
-                job.failuresByMachine.merge(m, 1, Int::plus)
+                machine.failureRecord.failedForUnknownCause(job.id)
+                job.failureRecord.addUnattributed(machine)
                 cluster.unprovenJobs.add(job)
-                if (job.failuresByMachine.keys.count { it.failureRecord.attributedFailures == 0 } >=
-                    PlacementConstants.SUSPECT_JOB_MACHINES
-                ) {
-                    return markSuspect(job, nowMs)
-                }
+                if (hasFailedOnSoundMachines(job)) return becameSuspect(job, nowMs)
             }
         }
-        if (m.failureRecord.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= m.failureRecord.quarantinedUntilMs) setAside(m, nowMs)
+        val record = machine.failureRecord
+        if (record.failures >= PlacementConstants.QUARANTINE_FAILURES && nowMs >= record.quarantinedUntilMs) quarantine(machine, nowMs)
+    }
+
+    private fun hasFailedOnSoundMachines(job: Job): Boolean {
+        val soundMachines =
+            job.failureRecord.unattributedFailures.keys
+                .count { it.failureRecord.attributedFailures == 0 }
+        return soundMachines >= PlacementConstants.SUSPECT_JOB_MACHINES
     }
 
-    /** A machine that fails what it is given would, being empty, draw ever more tasks. One job alone is as likely at fault. */
-    private fun setAside(
-        m: Machine,
+    /** A machine that fails what it is given is always empty, and would draw ever more tasks. A single job may as well be the cause itself. */
+    private fun quarantine(
+        machine: Machine,
         nowMs: Long,
     ) {
-        val record = m.failureRecord
-        val sure = record.attributedFailures > 0 || record.suspectJobs >= 2
-        val whose = "${record.attributedFailures} attributed to it, the rest to ${record.suspectJobs} unproven jobs"
-        log("${m.id} fails ${record.failures} tasks in a row, $whose: quarantined${if (sure) "" else " for a moment"}")
-        record.quarantineUntil(nowMs + if (sure) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS)
+        val record = machine.failureRecord
+        val certain = record.attributedFailures > 0 || record.suspectJobs >= 2
+        val causes = "${record.attributedFailures} attributed to it, the rest to ${record.suspectJobs} unproven jobs"
+        log("${machine.id} fails ${record.failures} tasks in a row, $causes: quarantined${if (certain) "" else " for a moment"}")
+        record.quarantineUntil(nowMs + if (certain) PlacementConstants.QUARANTINE_MS else PlacementConstants.SHORT_QUARANTINE_MS)
     }
 
-    private fun markSuspect(
+    private fun becameSuspect(
         job: Job,
         nowMs: Long,
     ) {
-        log("${job.id}: suspect, failed ${job.failures} times on ${job.failedOn.size} machines: probed with few tasks from now on")
-        job.changeHealth(JobHealth.SUSPECT)
-        job.notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
-        for ((m, times) in job.failuresByMachine) m.failureRecord.attributeToJob(job.id, times, nowMs)
-        job.failuresByMachine.clear()
+        val record = job.failureRecord
+        log("${job.id}: suspect, failed ${record.failures} times on ${record.failedOn.size} machines: probed with few tasks from now on")
+        record.becomeSuspect(nowMs)
+        for ((machine, failures) in record.unattributedFailures) machine.failureRecord.attributeToJob(job.id, failures, nowMs)
+        record.clearUnattributed()
         // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
         job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
     }
 
-    /** The job can succeed, so the machines that failed it, and have not succeeded since, are to blame. */
-    private fun clear(
+    /** The failures so far are attributed to the machines that have not succeeded since. */
+    private fun becameHealthy(
         job: Job,
         nowMs: Long,
     ) {
+        val record = job.failureRecord
         if (job.health == JobHealth.SUSPECT) log("${job.id}: healthy, it runs in full again")
-        job.changeHealth(JobHealth.HEALTHY)
+        record.becomeHealthy(nowMs)
         cluster.unprovenJobs.remove(job)
-        job.notBeforeMs = nowMs
-        for ((m, times) in job.failuresByMachine) m.failureRecord.attributeToMachine(job.id, times)
-        job.failuresByMachine.clear()
+        for ((machine, failures) in record.unattributedFailures) machine.failureRecord.attributeToMachine(job.id, failures)
+        record.clearUnattributed()
     }
 
-    /** Looks whether tasks of jobs in doubt run for longer than what failed: then not the job is to blame. */
-    fun look(nowMs: Long) {
+    /** Finds the unproven jobs healthy that have a task which has run for much longer than others took to fail. */
+    fun checkUnprovenJobs(nowMs: Long) {
         if (cluster.unprovenJobs.isEmpty()) return
         for (job in cluster.unprovenJobs.toList()) {
-            val enough = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.longestFailMs * FAIL_TIMES)
-            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enough }) clear(job, nowMs)
+            val enoughMs = maxOf(PlacementConstants.HEALTHY_RUN_MS, job.failureRecord.longestFailMs * HEALTHY_RUN_FACTOR)
+            if (job.activeAttempts.any { it.state == AttemptState.RUNNING && nowMs - it.changedAtMs > enoughMs }) becameHealthy(job, nowMs)
         }
     }
 
-    /** An earlier leader had come to doubt the job. */
+    /** Takes over from an earlier leader that [job] is suspect, after [probes] probes. */
     fun restore(
         job: Job,
         probes: Int,
     ) {
         if (job.health != JobHealth.UNKNOWN || job.doneTasks > 0) return
-        job.changeHealth(JobHealth.SUSPECT)
-        job.probes = probes
+        job.failureRecord.restoreSuspect(probes)
         cluster.unprovenJobs.add(job)
     }
 
     private companion object {
-        /** Times that the pause between tries is doubled at the most. */
-        const val MOST_DOUBLINGS = 5
-
-        /** Times the longest that a task took to fail, after which one that still runs speaks for its job. */
-        const val FAIL_TIMES = 3
+        /** A task that runs for this many times the longest run of a failed one shows that its job is healthy. */
+        const val HEALTHY_RUN_FACTOR = 3
     }
 }
