--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -162,7 +162,7 @@
             delay(PeerConstants.HEALTH_CHECK_MS)
             for (member in elections.members) {
                 val shard = member.shard ?: continue
-                if (member.leader != null) succession.reasonToTransfer(shard, loop.nowMs())?.let { member.transferLeadership(it) }
+                if (member.leader != null) succession.transferDue(shard, loop.nowMs())?.let { member.transferLeadership(it.reason) }
             }
         }
     }
--- a/src/main/kotlin/mintfield/app/Main.kt
+++ b/src/main/kotlin/mintfield/app/Main.kt
@@ -124,6 +124,6 @@
     val settings = SettingsFile.read(config ?: refuse("expected --config FILE; see --help"))
     // Its classes load only when it is named: every class costs time at the start.
     val operator = operatorFile?.let { OperatorFile.read(it) } ?: return settings
-    operator.sharding?.problem(settings)?.let { throw SettingsFault("$operatorFile: $it") }
+    operator.sharding?.problem(settings)?.let { throw SettingsFault("$operatorFile: ${it.message}") }
     return settings.copy(operator = operator)
 }
--- a/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
@@ -4,7 +4,7 @@
 import mintfield.app.sharding.MoveTracing
 import mintfield.app.sharding.OrderOutcome
 import mintfield.core.model.Settings
-import mintfield.core.ownership.Refusal
+import mintfield.core.ownership.AssignmentRefusal
 
 /** The command `machines`: shows who owns machines and which of them move, orders moves and takes them back, drains controllers. */
 class MachinesCommand(
@@ -50,7 +50,7 @@
         shard: String,
     ): Int {
         val status = orders.status() ?: return unavailable()
-        val shown = status.shards.firstOrNull { it.name == shard } ?: return refused("refused: ${Refusal.UNKNOWN_SHARD.reason}")
+        val shown = status.shards.firstOrNull { it.name == shard } ?: return refused("refused: ${AssignmentRefusal.UNKNOWN_SHARD.reason}")
         MachineRanges(shown.machines).describe().forEach(print)
         return DONE
     }
--- a/src/main/kotlin/mintfield/app/sharding/MachineOrders.kt
+++ b/src/main/kotlin/mintfield/app/sharding/MachineOrders.kt
@@ -1,16 +1,16 @@
 package mintfield.app.sharding
 
 import mintfield.core.ownership.Assignment
+import mintfield.core.ownership.AssignmentRefusal
 import mintfield.core.ownership.AssignmentTable
+import mintfield.core.ownership.AssignmentTransition
 import mintfield.core.ownership.DrainRecord
-import mintfield.core.ownership.DrainStep
+import mintfield.core.ownership.DrainTransition
 import mintfield.core.ownership.Handover
 import mintfield.core.ownership.KnownAssignment
 import mintfield.core.ownership.MoveTracer
-import mintfield.core.ownership.Refusal
 import mintfield.core.ownership.ShardingSettings
 import mintfield.core.ownership.Shards
-import mintfield.core.ownership.Step
 import mintfield.io.ownership.AssignmentCodec
 import mintfield.io.ownership.DrainCodec
 import mintfield.io.store.KeyWrite
@@ -75,7 +75,7 @@
         change(machine) { current, shards ->
             // Only an order that is not refused begins a trace.
             val step = Handover.order(current, target, shards)
-            if (step is Step.To) Handover.order(current, target, shards, tracer.ordered(machine, current!!.owner, target)) else step
+            if (step is AssignmentTransition.Allowed) Handover.order(current, target, shards, tracer.ordered(machine, current!!.owner, target)) else step
         }
 
     /** Takes the order to move [machine] back. */
@@ -87,13 +87,13 @@
     /** Lets [controller] lead shares again. */
     suspend fun resume(controller: String): OrderOutcome = changeDrained { it.resume(controller) }
 
-    private suspend fun changeDrained(step: (DrainRecord) -> DrainStep): OrderOutcome {
+    private suspend fun changeDrained(step: (DrainRecord) -> DrainTransition): OrderOutcome {
         repeat(TRIES) {
             val record = (read() ?: return OrderOutcome.Unavailable).drainRecord
             val members =
                 when (val found = step(record)) {
-                    is DrainStep.Refused -> return OrderOutcome.Refused(found.refusal.reason)
-                    is DrainStep.To -> found.members
+                    is DrainTransition.Refused -> return OrderOutcome.Refused(found.refusal.reason)
+                    is DrainTransition.Allowed -> found.members
                 }
             val result = store.txn(listOf(Precondition(Keys.DRAINED, record.revision)), listOf(KeyWrite.Put(Keys.DRAINED, DrainCodec.write(members))))
             val outcome = (result as? StoreResult.Ok)?.value ?: return OrderOutcome.Unavailable
@@ -118,18 +118,18 @@
 
     private suspend fun change(
         machine: String,
-        step: (Assignment?, Shards) -> Step,
+        step: (Assignment?, Shards) -> AssignmentTransition,
     ): OrderOutcome {
         repeat(TRIES) {
             val table = (read() ?: return OrderOutcome.Unavailable).table
             val leaders = leaders() ?: return OrderOutcome.Unavailable
-            if (table.of(machine) == KnownAssignment.Unknown) return OrderOutcome.Refused(Refusal.UNREADABLE.reason)
+            if (table.of(machine) == KnownAssignment.Unknown) return OrderOutcome.Refused(AssignmentRefusal.UNREADABLE.reason)
             val next =
                 when (val found = step(table.assignment(machine), CurrentShards(table, leaders))) {
-                    is Step.Refused -> return OrderOutcome.Refused(found.refusal.reason)
-                    is Step.To -> found.next
+                    is AssignmentTransition.Refused -> return OrderOutcome.Refused(found.refusal.reason)
+                    is AssignmentTransition.Allowed -> found.next
                 }
-            val content = table.blockWith(machine, next) ?: return OrderOutcome.Refused(Refusal.UNREADABLE.reason)
+            val content = table.blockWith(machine, next) ?: return OrderOutcome.Refused(AssignmentRefusal.UNREADABLE.reason)
             val key = Keys.assignments(AssignmentTable.blockOf(machine))
             val result = store.txn(listOf(Precondition(key, table.revisionOf(machine))), listOf(KeyWrite.Put(key, AssignmentCodec.write(content))))
             val outcome = (result as? StoreResult.Ok)?.value ?: return OrderOutcome.Unavailable
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -13,7 +13,7 @@
 import mintfield.core.ownership.LeaderCondition
 import mintfield.core.ownership.LoadMeter
 import mintfield.core.ownership.Rebalancer
-import mintfield.core.ownership.RemoteTasks
+import mintfield.core.ownership.RemoteTaskTracker
 import mintfield.core.ownership.ShardLoad
 import mintfield.core.ownership.ShardOwnership
 import mintfield.core.ownership.ShardSettings
@@ -47,7 +47,7 @@
 ) {
     val ownership = ShardOwnership(shard.name, node.table, shard.floor, shard.ceiling) { node.foreignSpec(shard, it) }
     private lateinit var agent: HandoverAgent
-    private lateinit var remoteTasks: RemoteTasks
+    private lateinit var remoteTasks: RemoteTaskTracker
     private lateinit var responder: ForeignTaskResponder
     private lateinit var scheduler: Scheduler
     private lateinit var meter: LoadMeter
@@ -62,7 +62,7 @@
             HandoverAgent(ownership, node.table, scheduler, node, WeightedClaims(shard.name, node.settings.shards, node::isLive), {
                 rebalancer.transfers(it, names)
             }, node.tracer) { Log.info(it) }
-        remoteTasks = RemoteTasks(scheduler)
+        remoteTasks = RemoteTaskTracker(scheduler)
         responder = ForeignTaskResponder(scheduler)
     }
 
@@ -130,7 +130,7 @@
         while (true) {
             delay(ShardingConstants.ASSIGNMENT_INTERVAL_MS)
             if (!leader.mayAct()) continue
-            val byOwner = remoteTasks.due(loop.nowMs()).groupBy { node.shardFor(it.machine) }
+            val byOwner = remoteTasks.dueQueries(loop.nowMs()).groupBy { node.shardFor(it.machine) }
             for ((owner, queries) in byOwner) if (owner != null) queries.chunked(QUERIES_AT_ONCE).forEach { ask(owner, it) }
             if (byOwner.isNotEmpty()) leader.wake()
         }
--- a/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
+++ b/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
@@ -6,50 +6,30 @@
     /** Null if the record cannot be read. */
     val members: Set<String>?,
 ) {
-    /** What follows if [member] is drained too; [all] are the controllers that there are. */
+    /** The transition when [member] is to be drained too; [all] are the configured controllers. */
     fun drain(
         member: String,
         all: Collection<String>,
-    ): DrainStep =
+    ): DrainTransition =
         when {
-            members == null -> DrainStep.Refused(DrainRefusal.UNREADABLE)
-            member !in all -> DrainStep.Refused(DrainRefusal.UNKNOWN_CONTROLLER)
-            member in members -> DrainStep.Refused(DrainRefusal.ALREADY_DRAINED)
-            all.all { it == member || it in members } -> DrainStep.Refused(DrainRefusal.LAST_CONTROLLER)
-            else -> DrainStep.To(members + member)
+            members == null -> DrainTransition.Refused(DrainRefusal.UNREADABLE)
+            member !in all -> DrainTransition.Refused(DrainRefusal.UNKNOWN_CONTROLLER)
+            member in members -> DrainTransition.Refused(DrainRefusal.ALREADY_DRAINED)
+            all.all { it == member || it in members } -> DrainTransition.Refused(DrainRefusal.LAST_CONTROLLER)
+            else -> DrainTransition.Allowed(members + member)
         }
 
-    /** What follows if [member] may lead shares again. */
-    fun resume(member: String): DrainStep =
+    /** The transition when [member] may lead shards again. */
+    fun resume(member: String): DrainTransition =
         when {
-            members == null -> DrainStep.Refused(DrainRefusal.UNREADABLE)
-            member !in members -> DrainStep.Refused(DrainRefusal.NOT_DRAINED)
-            else -> DrainStep.To(members - member)
+            members == null -> DrainTransition.Refused(DrainRefusal.UNREADABLE)
+            member !in members -> DrainTransition.Refused(DrainRefusal.NOT_DRAINED)
+            else -> DrainTransition.Allowed(members - member)
         }
 
+    /** The initial record. */
     companion object {
-        val NONE = DrainRecord(0, emptySet())
+        /** What holds while the store has no record. */
+        val NONE = DrainRecord(revision = 0, members = emptySet())
     }
 }
-
-/** What becomes of a wish to drain a controller or to end that. */
-sealed interface DrainStep {
-    data class To(
-        val members: Set<String>,
-    ) : DrainStep
-
-    data class Refused(
-        val refusal: DrainRefusal,
-    ) : DrainStep
-}
-
-/** Why a controller is not drained, or does not resume. */
-enum class DrainRefusal(
-    val reason: String,
-) {
-    UNREADABLE("the record of drained controllers cannot be read"),
-    UNKNOWN_CONTROLLER("unknown controller"),
-    ALREADY_DRAINED("it is drained already"),
-    NOT_DRAINED("it is not drained"),
-    LAST_CONTROLLER("no other controller would be left"),
-}
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -6,9 +6,9 @@
 import mintfield.core.fleet.MachineState
 
 /**
- * Gives machines of one share to shares that are short: a job must not wait in one share while a machine of another has room, and while
- * all are short each is due its part by weight. Only the owner gives, few machines at a time, none below its floor, and only such as the
- * waiting tasks fit on. Tasks on a machine that is given run on there until they end.
+ * Transfers machines of the shard [shard] to shards with a deficit: tasks must not wait in one shard while a machine of another has room
+ * for them, and while all shards are short each is due its fair share by weight. Only the owner transfers machines, few at a time, none
+ * below its floor, and only such as the waiting tasks fit on. Tasks on a transferred machine run on there until they end.
  */
 class Rebalancer(
     private val shard: String,
@@ -17,130 +17,169 @@
     private val shards: Shards,
     private val loads: ShardLoads,
 ) {
-    private class Grant(
+    /** A transfer that was ordered and that the load reported by [target] may not show yet. */
+    private class PendingTransfer(
         val target: String,
         val cpus: Double,
         val atMs: Long,
     )
 
-    /** A share that is short, with what it still lacks once everything that was given to it has arrived. */
+    private class PlannedTransfer(
+        val machine: Machine,
+        val target: String,
+    )
+
+    /** A shard that is short of [deficitCpus], once all machines that were transferred to it have arrived. */
     private class Deficit(
-        val name: String,
+        val shard: String,
         val load: ShardLoad,
         var deficitCpus: Double,
     ) {
         fun wants(machine: Machine) = deficitCpus > 0 && machine.kind in load.shortOf
     }
 
+    /** What one round of rebalancing works with. */
+    private class Round(
+        val own: ShardLoad,
+        val others: Map<String, ShardLoad>,
+        val deficits: List<Deficit>,
+        val maxTransfers: Int,
+        val nowMs: Long,
+    )
+
     private val meter = LoadMeter(cluster)
     private val idleSinceMs = HashMap<String, Long>()
-    private val grants = ArrayList<Grant>()
+    private val pending = ArrayList<PendingTransfer>()
 
-    /** Since when each share that is short has been so. */
+    /** Since when each shard with a deficit has had it. */
     private val deficitSinceMs = HashMap<String, Long>()
-    private var lastLookMs = Long.MIN_VALUE / 2
+    private var lastRoundMs = Machine.NEVER
 
-    /** The machines to be given now, each with the share that gets it. */
+    /** The transfers to order at [nowMs]; [targets] are the names of all shards. Empty between two rounds. */
     fun transfers(
         nowMs: Long,
         targets: Collection<String>,
-    ): Map<String, String> {
-        val idle = idle(nowMs)
-        if (nowMs - lastLookMs < ShardingConstants.REBALANCE_INTERVAL_MS) return emptyMap()
-        lastLookMs = nowMs
-        grants.removeAll { nowMs - it.atMs > ShardingConstants.TRANSFER_PENDING_MS }
-        val others = targets.filter { it != shard && shards.isLive(it) }.mapNotNull { name -> loads.load(name)?.let { name to it } }.toMap()
-        val deficits = others.map { (name, load) -> Deficit(name, load, load.shortCpus - granted(name)) }.filter { it.deficitCpus > 0 }
-        deficitSinceMs.keys.retainAll(deficits.mapTo(HashSet()) { it.name })
-        deficits.forEach { deficitSinceMs.putIfAbsent(it.name, nowMs) }
-        val most = mostAtOnce()
-        if (deficits.isEmpty() || most <= 0) return emptyMap()
-        val own = meter.measure()
-        val transferred =
-            idleTransfers(idle, own, deficits, most)
-                .ifEmpty { fairShareTransfers(own, others, deficits, most, nowMs) }
-                .ifEmpty { capacityTransfer(own, deficits, nowMs) }
-        for ((machine, target) in transferred) grants.add(Grant(target, machine.type.cpus, nowMs))
-        return transferred.entries.associate { (machine, target) -> machine.id to target }
+    ): List<MachineTransfer> {
+        // Observed at each call, so that the time for which a machine has been idle is exact.
+        val idle = longIdleMachines(nowMs)
+        if (nowMs - lastRoundMs < ShardingConstants.REBALANCE_INTERVAL_MS) return emptyList()
+        lastRoundMs = nowMs
+        pending.removeAll { nowMs - it.atMs > ShardingConstants.TRANSFER_PENDING_MS }
+        val others = loadsOf(targets)
+        val deficits = deficitsOf(others, nowMs)
+        val maxTransfers = maxTransfers()
+        if (deficits.isEmpty() || maxTransfers <= 0) return emptyList()
+        val transfers = plan(idle, Round(meter.measure(), others, deficits, maxTransfers, nowMs))
+        for (transfer in transfers) pending.add(PendingTransfer(transfer.target, transfer.machine.type.cpus, nowMs))
+        return transfers.map { MachineTransfer(it.machine.id, it.target) }
+    }
+
+    private fun plan(
+        idle: List<Machine>,
+        round: Round,
+    ): List<PlannedTransfer> =
+        idleTransfers(idle, round)
+            .ifEmpty { fairShareTransfers(round) }
+            .ifEmpty { capacityTransfer(round) }
+
+    private fun loadsOf(targets: Collection<String>): Map<String, ShardLoad> =
+        targets
+            .filter { it != shard && shards.isLive(it) }
+            .mapNotNull { name -> loads.load(name)?.let { name to it } }
+            .toMap()
+
+    private fun deficitsOf(
+        others: Map<String, ShardLoad>,
+        nowMs: Long,
+    ): List<Deficit> {
+        val deficits = others.map { (name, load) -> Deficit(name, load, load.shortCpus - pendingCpus(name)) }.filter { it.deficitCpus > 0 }
+        deficitSinceMs.keys.retainAll(deficits.mapTo(HashSet()) { it.shard })
+        deficits.forEach { deficitSinceMs.putIfAbsent(it.shard, nowMs) }
+        return deficits
     }
 
-    private fun mostAtOnce(): Int = minOf(maxOf(1, (table.count(shard) * ShardingConstants.REBALANCE_FRACTION).toInt()), shards.spare(shard))
+    private fun maxTransfers(): Int {
+        val fraction = (table.count(shard) * ShardingConstants.REBALANCE_FRACTION).toInt()
+        return minOf(maxOf(1, fraction), shards.spare(shard))
+    }
 
-    private fun granted(target: String) = grants.sumOf { if (it.target == target) it.cpus else 0.0 }
+    private fun pendingCpus(target: String) = pending.sumOf { if (it.target == target) it.cpus else 0.0 }
 
-    private fun idle(nowMs: Long): List<Machine> {
-        val now = cluster.machines.values.filter { it.state == MachineState.UP && !it.inUse && cluster.ownership.mayStart(it.id) }
-        idleSinceMs.keys.retainAll(now.mapTo(HashSet()) { it.id })
-        return now.filter { nowMs - idleSinceMs.getOrPut(it.id) { nowMs } >= ShardingConstants.IDLE_TRANSFER_MS }
+    private fun longIdleMachines(nowMs: Long): List<Machine> {
+        val idle = cluster.machines.values.filter { it.state == MachineState.UP && !it.inUse && cluster.ownership.mayStart(it.id) }
+        idleSinceMs.keys.retainAll(idle.mapTo(HashSet()) { it.id })
+        return idle.filter { nowMs - idleSinceMs.getOrPut(it.id) { nowMs } >= ShardingConstants.IDLE_TRANSFER_MS }
     }
 
-    /** Machines that stand idle and that this share's own waiting tasks have no use for. */
+    /** Idle machines that this shard's own waiting tasks do not fit on, each to the shard with the largest deficit that they fit. */
     private fun idleTransfers(
         idle: List<Machine>,
-        own: ShardLoad,
-        deficits: List<Deficit>,
-        most: Int,
-    ): Map<Machine, String> {
-        val transferred = LinkedHashMap<Machine, String>()
-        for (machine in idle) {
-            if (transferred.size == most) break
-            if (machine.kind in own.shortOf) continue
-            val target = deficits.filter { it.wants(machine) }.maxByOrNull { it.deficitCpus } ?: continue
-            transferred[machine] = target.name
+        round: Round,
+    ): List<PlannedTransfer> {
+        val planned = ArrayList<PlannedTransfer>()
+        for (machine in idle.filter { it.kind !in round.own.shortOf }) {
+            if (planned.size == round.maxTransfers) break
+            val target = round.deficits.filter { it.wants(machine) }.maxByOrNull { it.deficitCpus } ?: continue
+            planned.add(PlannedTransfer(machine, target.shard))
             target.deficitCpus -= machine.type.cpus
         }
-        return transferred
+        return planned
     }
 
-    /** Machines in use, from a share that has more than its part to the one that has the least of its part. */
-    private fun fairShareTransfers(
-        own: ShardLoad,
-        others: Map<String, ShardLoad>,
-        deficits: List<Deficit>,
-        most: Int,
-        nowMs: Long,
-    ): Map<Machine, String> {
-        val all = others + (shard to own)
-        val due = FairShares.divide(all.values.sumOf { it.ownedCpus }, all.mapValues { (name, load) -> FairShares.Claim(loads.weight(name), load.wantedCpus) })
+    /** Machines in use, while this shard has more than its fair share, to the one that lacks the most of its own in proportion. */
+    private fun fairShareTransfers(round: Round): List<PlannedTransfer> {
+        val due = fairShares(round)
         val ownDue = due.getValue(shard)
-        var excess = own.ownedCpus - ownDue
-        if (excess <= ownDue * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyMap()
-        val target = deficits.maxByOrNull { lackOf(it, due) / due.getValue(it.name) } ?: return emptyMap()
-        var lack = lackOf(target, due)
-        if (lack <= due.getValue(target.name) * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyMap()
-        val transferred = LinkedHashMap<Machine, String>()
-        for (machine in movable(nowMs).filter { target.wants(it) }) {
-            if (transferred.size == most) break
-            if (machine.type.cpus > excess || machine.type.cpus > lack) continue
-            transferred[machine] = target.name
-            excess -= machine.type.cpus
-            lack -= machine.type.cpus
+        val excess = round.own.ownedCpus - ownDue
+        val target = round.deficits.maxByOrNull { lackOf(it, due) / due.getValue(it.shard) }
+        if (target == null || excess <= ownDue * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
+        val lack = lackOf(target, due)
+        if (lack <= due.getValue(target.shard) * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
+        return transfersOfAtMost(minOf(excess, lack), target, round)
+    }
+
+    /** The CPUs due to each shard, this one included, out of all that they own together. */
+    private fun fairShares(round: Round): Map<String, Double> {
+        val all = round.others + (shard to round.own)
+        val claims = all.mapValues { (name, load) -> FairShares.Claim(loads.weight(name), load.wantedCpus) }
+        return FairShares.divide(all.values.sumOf { it.ownedCpus }, claims)
+    }
+
+    private fun transfersOfAtMost(
+        cpus: Double,
+        target: Deficit,
+        round: Round,
+    ): List<PlannedTransfer> {
+        val planned = ArrayList<PlannedTransfer>()
+        var remainingCpus = cpus
+        for (machine in movableMachines(round.nowMs).filter { target.wants(it) }) {
+            if (planned.size == round.maxTransfers) break
+            if (machine.type.cpus > remainingCpus) continue
+            planned.add(PlannedTransfer(machine, target.shard))
+            remainingCpus -= machine.type.cpus
         }
-        return transferred
+        return planned
     }
 
-    /** When a share has been short for long: one machine that has room for its smallest task, if this share has no use for that room. */
-    private fun capacityTransfer(
-        own: ShardLoad,
-        deficits: List<Deficit>,
-        nowMs: Long,
-    ): Map<Machine, String> {
-        if (own.shortCpus > 0) return emptyMap()
+    /** One machine with room for the smallest task of a shard that has been short for long, if this shard has no use for that room. */
+    private fun capacityTransfer(round: Round): List<PlannedTransfer> {
+        if (round.own.shortCpus > 0) return emptyList()
         val target =
-            deficits.filter { nowMs - deficitSinceMs.getValue(it.name) > ShardingConstants.CAPACITY_TRANSFER_DELAY_MS }.maxByOrNull { it.deficitCpus }
-                ?: return emptyMap()
-        val machine = movable(nowMs).firstOrNull { target.wants(it) && it.freeCpus >= target.load.smallestCpus } ?: return emptyMap()
-        return mapOf(machine to target.name)
+            round.deficits
+                .filter { round.nowMs - deficitSinceMs.getValue(it.shard) > ShardingConstants.CAPACITY_TRANSFER_DELAY_MS }
+                .maxByOrNull { it.deficitCpus } ?: return emptyList()
+        val machine = movableMachines(round.nowMs).firstOrNull { target.wants(it) && it.freeCpus >= target.load.smallestCpus }
+        return listOfNotNull(machine?.let { PlannedTransfer(it, target.shard) })
     }
 
-    /** CPUs that [deficits] has less than it is due, once everything that was given to it has arrived. */
+    /** CPUs that the shard of [deficit] has less than it is due, once all machines that were transferred to it have arrived. */
     private fun lackOf(
-        deficits: Deficit,
+        deficit: Deficit,
         due: Map<String, Double>,
-    ) = due.getValue(deficits.name) - deficits.load.ownedCpus - granted(deficits.name)
+    ) = due.getValue(deficit.shard) - deficit.load.ownedCpus - pendingCpus(deficit.shard)
 
-    /** Machines that may be given though they are in use, those with the most room first; none that has just come. */
-    private fun movable(nowMs: Long): List<Machine> =
+    /** Machines that may be moved while they are in use, those with the most free CPUs first; none that came a short time ago. */
+    private fun movableMachines(nowMs: Long): List<Machine> =
         cluster.machines.values
             .filter { it.state == MachineState.UP && cluster.ownership.mayStart(it.id) && nowMs - it.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS }
             .sortedByDescending { it.freeCpus }
--- a/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
@@ -1,18 +1,12 @@
 package mintfield.core.ownership
 
 import mintfield.core.constants.ShardingConstants
-
-/** What a controller knows of its peers when it decides who should lead a share. */
-interface PeerLiveness {
-    val names: Collection<String>
-
-    /** Whether [peer] has been heard lately, and the store serves it. */
-    fun isUpAndServed(peer: String): Boolean
-}
+import mintfield.core.fleet.Machine
 
 /**
- * Which controller should lead a share: its home, if that is up and not drained; else one that is not drained and leads few shares; a
- * drained one only if nobody else does. Says when [member] should stand for a share, and when it should give one up.
+ * Which controller should lead a shard: its home if that is up and not drained, else one that is not drained and leads few shards, and a
+ * drained one only if nobody else does. Says for the controller [member] when it should campaign for a shard, and when it should transfer
+ * one.
  */
 class ShardSuccession(
     private val member: String,
@@ -21,61 +15,59 @@
     private val drained: () -> Set<String>,
 ) {
     private val successorSinceMs = HashMap<String, Long>()
-    private var lastDrainMs = Long.MIN_VALUE / 2
+    private var lastDrainMs = Machine.NEVER
 
-    /** Milliseconds to wait before standing for [shard] while leading [led] others, so that whoever should lead it goes first. */
+    /** Milliseconds to wait before a campaign for [shard] while leading [ledShards] others, so that whoever should lead it goes first. */
     fun campaignDelayMs(
         shard: ShardSettings,
-        led: Int,
+        ledShards: Int,
     ): Long =
         when {
             member in drained() -> ShardingConstants.DRAINED_CAMPAIGN_DELAY_MS
             shard.home == member -> 0
-            shard.home in drained() -> led * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
-            else -> ShardingConstants.HOME_HEAD_START_MS + led * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
+            shard.home in drained() -> ledShards * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
+            else -> ShardingConstants.HOME_HEAD_START_MS + ledShards * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
         }
 
-    /** Why [shard], which this controller leads, is to be given up now; null if it is not. */
-    fun reasonToTransfer(
+    /** The transfer of [shard], which this controller leads, if it is due now; null if it is not. To be asked again and again. */
+    fun transferDue(
         shard: ShardSettings,
         nowMs: Long,
-    ): String? = if (member in drained()) drain(shard, nowMs) else returnHome(shard, nowMs)
+    ): LeadershipTransfer? = if (member in drained()) drain(shard, nowMs) else returnHome(shard, nowMs)
 
     private fun drain(
         shard: ShardSettings,
         nowMs: Long,
-    ): String? {
-        val successor = peers.names.any { it !in drained() && peers.isUpAndServed(it) }
-        if (!heldFor(ShardingConstants.DRAIN_SUCCESSOR_STABLE_MS, shard, successor, nowMs) ||
-            nowMs - lastDrainMs < ShardingConstants.DRAIN_INTERVAL_MS
-        ) {
-            return null
-        }
+    ): LeadershipTransfer? {
+        val hasSuccessor = peers.names.any { it !in drained() && peers.isUpAndServed(it) }
+        val stable = hasStableSuccessor(shard, hasSuccessor, ShardingConstants.DRAIN_SUCCESSOR_STABLE_MS, nowMs)
+        if (!stable || nowMs - lastDrainMs < ShardingConstants.DRAIN_INTERVAL_MS) return null
         lastDrainMs = nowMs
-        return "$member is drained"
+        return LeadershipTransfer.Drained(member)
     }
 
     private fun returnHome(
         shard: ShardSettings,
         nowMs: Long,
-    ): String? {
-        val successor = shard.home != member && shard.home !in drained() && peers.isUpAndServed(shard.home)
-        return if (heldFor(ShardingConstants.HOME_STABLE_MS, shard, successor, nowMs)) "${shard.home} is up, the home of ${shard.name}" else null
+    ): LeadershipTransfer? {
+        val hasSuccessor = shard.home != member && shard.home !in drained() && peers.isUpAndServed(shard.home)
+        val stable = hasStableSuccessor(shard, hasSuccessor, ShardingConstants.HOME_STABLE_MS, nowMs)
+        return if (stable) LeadershipTransfer.HomeIsUp(shard.home, shard.name) else null
     }
 
-    /** Whether there has been a successor for [forMs]; after that, another try comes no sooner than in the same time again. */
-    private fun heldFor(
-        forMs: Long,
+    /** Whether [shard] has had a successor for [stableMs]. Once this was true, it is not again before the same time has passed. */
+    private fun hasStableSuccessor(
         shard: ShardSettings,
-        successor: Boolean,
+        hasSuccessor: Boolean,
+        stableMs: Long,
         nowMs: Long,
     ): Boolean {
-        if (!successor) {
+        if (!hasSuccessor) {
             successorSinceMs.remove(shard.name)
             return false
         }
         val since = successorSinceMs.getOrPut(shard.name) { nowMs }
-        if (nowMs - since < forMs) return false
+        if (nowMs - since < stableMs) return false
         successorSinceMs[shard.name] = nowMs
         return true
     }
--- a/src/main/kotlin/mintfield/core/ownership/ShardingSettings.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardingSettings.kt
@@ -2,46 +2,47 @@
 
 import mintfield.core.model.Settings
 
-/** A part of the machines with the teams whose jobs run on it; its leader schedules these jobs and acts for these machines. */
-data class ShardSettings(
-    val name: String,
-    /** The controller that should lead it while it is up. */
-    val home: String,
-    val teams: List<String>,
-    /** Machines below which none is taken from it, or returned as idle. */
-    val floor: Int = 0,
-    /** Machines above which it rents no more. */
-    val ceiling: Int = Int.MAX_VALUE,
-    /** Its part of the machines, beside the weights of the others, while all want more than there are. */
-    val weight: Double = DEFAULT_WEIGHT,
-) {
-    companion object {
-        const val DEFAULT_WEIGHT = 1.0
-    }
-}
-
-/** How operators divide the machines among the controllers. Every team belongs to one share, so its limit is kept in one place. */
+/**
+ * How operators divide the machines among the controllers. Every team belongs to exactly one shard, so that one leader alone keeps its
+ * limit.
+ */
 data class ShardingSettings(
     val shards: List<ShardSettings>,
 ) {
-    private val byTeam = shards.flatMap { shard -> shard.teams.map { it to shard } }.toMap()
+    private val shardByTeam = shards.flatMap { shard -> shard.teams.map { it to shard } }.toMap()
 
+    /** The settings of the shard [name]; null if there is none of that name. */
     fun shard(name: String): ShardSettings? = shards.firstOrNull { it.name == name }
 
-    /** The share whose leader schedules the jobs of [team]. */
-    fun ofTeam(team: String): ShardSettings? = byTeam[team]
+    /** The shard whose leader schedules the jobs of [team]; null for an unknown team. */
+    fun ofTeam(team: String): ShardSettings? = shardByTeam[team]
 
-    /** What does not fit the platform's [settings]: a field and the reason; null if all does. */
-    fun problem(settings: Settings): String? {
-        val members = settings.peers.map { it.member } + settings.member
+    /** The first thing that does not fit the platform's [settings]; null if all does. */
+    fun problem(settings: Settings): ShardingSettingsProblem? {
+        val controllers = settings.peers.map { it.member } + settings.member
         val teams = settings.teams.map { it.name }
-        for (shard in shards) {
-            val at = "sharing.share ${shard.name}"
-            if (shard.home !in members) return "$at.home: expected one of ${members.sorted().joinToString(", ")}, found ${shard.home}"
-            shard.teams.firstOrNull { it !in teams }?.let { return "$at.teams: expected some of ${teams.joinToString(", ")}, found $it" }
+        return shards.firstNotNullOfOrNull { shardProblem(it, controllers, teams) } ?: teamProblem(teams)
+    }
+
+    private fun shardProblem(
+        shard: ShardSettings,
+        controllers: List<String>,
+        teams: List<String>,
+    ): ShardingSettingsProblem? {
+        val field = "sharing.share ${shard.name}"
+        if (shard.home !in controllers) {
+            val expected = controllers.sorted().joinToString(", ")
+            return ShardingSettingsProblem("$field.home", "expected one of $expected, found ${shard.home}")
         }
+        val unknownTeam = shard.teams.firstOrNull { it !in teams } ?: return null
+        return ShardingSettingsProblem("$field.teams", "expected some of ${teams.joinToString(", ")}, found $unknownTeam")
+    }
+
+    private fun teamProblem(teams: List<String>): ShardingSettingsProblem? {
         val owned = shards.flatMap { it.teams }
-        owned.firstOrNull { team -> owned.count { it == team } > 1 }?.let { return "sharing.share: team $it is in more than one share" }
-        return teams.firstOrNull { it !in owned }?.let { "sharing.share: team $it is in no share" }
+        val ownedTwice = owned.firstOrNull { team -> owned.count { it == team } > 1 }
+        if (ownedTwice != null) return ShardingSettingsProblem("sharing.share", "team $ownedTwice is in more than one share")
+        val unowned = teams.firstOrNull { it !in owned } ?: return null
+        return ShardingSettingsProblem("sharing.share", "team $unowned is in no share")
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/ownership/WeightedClaims.kt
@@ -0,0 +1,42 @@
+package mintfield.core.ownership
+
+import com.google.common.hash.Hashing
+
+/**
+ * Divides machines without an owner among the shards [all] in proportion to their weights. All leaders come to the same result without
+ * communicating, and a machine that is listed again falls to the same shard. The algorithm is rendezvous hashing (Thaler and Ravishankar,
+ * "Using Name-Based Mappings to Increase Hit Rates", 1998) with the weighted score `-weight / ln(hash)` (Resch, "New Hashing Algorithms
+ * for Data Storage", 2015).
+ */
+class WeightedClaims(
+    private val shard: String,
+    private val all: List<ShardSettings>,
+    private val isLive: (String) -> Boolean,
+) : ClaimPolicy {
+    override fun takes(
+        machine: String,
+        abandoned: Boolean,
+    ): Boolean {
+        val chosen = all.maxBy { score(machine, it) }.name
+        if (chosen == shard) return true
+        return abandoned && !isLive(chosen) && all.first { it.name == shard || isLive(it.name) }.name == shard
+    }
+
+    private fun score(
+        machine: String,
+        candidate: ShardSettings,
+    ): Double {
+        val hash = Hashing.murmur3_128().hashUnencodedChars("$machine ${candidate.name}").asLong()
+        // Uniform between 0 and 1, without the ends: the logarithm of 0 is not finite, and one of 1 cannot be divided by.
+        val uniform = ((hash ushr SHIFT) + HALF_STEP) / (1L shl MANTISSA_BITS)
+        return -candidate.weight / Math.log(uniform)
+    }
+
+    private companion object {
+        const val MANTISSA_BITS = 52
+        const val SHIFT = Long.SIZE_BITS - MANTISSA_BITS
+
+        /** Moves each value to the middle of its interval. */
+        const val HALF_STEP = 0.5
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintfield/core/ownership/WholeFleet.kt
@@ -0,0 +1,22 @@
+package mintfield.core.ownership
+
+import mintfield.core.model.JobSpec
+
+/** The ownership without sharding: one leader owns all machines and schedules all jobs. */
+object WholeFleet : Ownership {
+    override fun owns(machine: String) = true
+
+    override fun mayStart(machine: String) = true
+
+    override fun epoch(machine: String) = 0L
+
+    override fun isGone(machine: String) = false
+
+    override fun foreignSpec(job: String): JobSpec? = null
+
+    override val claiming get() = 0
+
+    override val scaleOutHeadroom get() = Int.MAX_VALUE
+
+    override val maySpare get() = true
+}
