--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -306,7 +306,7 @@
             ?.leader
             ?.shardLeader
             ?.answer(queries)
-            ?.let(ForeignTaskCodec::answers)
+            ?.let(ForeignTaskCodec::encodeAnswers)
     }
 
     /** Asks the leader of [shard], here or at a peer. */
--- a/src/main/kotlin/mintfield/io/ownership/AssignmentCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/AssignmentCodec.kt
@@ -5,18 +5,22 @@
 import mintfield.io.json.asMap
 import mintfield.io.json.string
 
-/** How a block of assignments is written: an object by machine, such as `{"m-1":{"owner":"a"},"m-2":{"owner":"a","releasing":"b"}}`. */
+/**
+ * Maps a block of assignments to its stored form, an object by machine, and back:
+ * `{"m-1":{"owner":"a"},"m-2":{"owner":"a","releasing":"b"}}`.
+ */
 object AssignmentCodec {
     private const val OWNER = "owner"
     private const val RELEASING = "releasing"
     private const val OFFERED = "offered"
 
-    /** The context of the trace of a move; only where moves are traced. */
+    /** The trace context of a move; only where moves are traced. */
     private const val TRACE = "trace"
 
-    /** Moves of one block that are traced at a time: with more, all at once, a block would not fit a value of 8 KiB. */
-    private const val MOST_TRACED = 16
+    /** Moves of one block whose trace contexts are written: with more, a block of a large fleet would not fit a value of 8 KiB. */
+    private const val MAX_TRACED = 16
 
+    /** The block with [assignments] by machine. */
     fun write(assignments: Map<String, Assignment>): ByteArray =
         Json.obj {
             var traced = 0
@@ -28,12 +32,12 @@
                     is Assignment.Releasing -> writeStringField(RELEASING, assignment.target)
                     is Assignment.Offered -> writeStringField(OFFERED, assignment.target)
                 }
-                if (assignment.trace != null && traced++ < MOST_TRACED) writeStringField(TRACE, assignment.trace)
+                if (assignment.trace != null && traced++ < MAX_TRACED) writeStringField(TRACE, assignment.trace)
                 writeEndObject()
             }
         }
 
-    /** Null if any of it cannot be read: a block read in part would lose the rest when it is rewritten. */
+    /** The assignments by machine; null if any of them cannot be read: a block read in part would lose the rest when it is rewritten. */
     fun parse(data: Map<String, Any?>): Map<String, Assignment>? = data.mapValues { (_, value) -> assignment(value.asMap()) ?: return null }
 
     private fun assignment(entry: Map<String, Any?>?): Assignment? {
--- a/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
+++ b/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
@@ -18,12 +18,14 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Writes the steps of moves as spans to a file, one line of OTLP in JSON for each batch, from a thread of its own. The context of a trace
- * has the form of the W3C header `traceparent`. Only loaded where operators name a file.
+ * Appends the steps of moves as spans to [file], one line of OTLP in JSON for each batch, from a thread of its own. A trace context has the
+ * form of the W3C header `traceparent`. Throws an `IOException` if the file cannot be opened. Loaded only where operators name a file.
  */
 class OpenTelemetryMoveTracer(
     file: String,
+    /** The name of the process in the spans. */
     controller: String,
+    /** The time of day, in milliseconds. */
     private val wallMs: () -> Long = System::currentTimeMillis,
 ) : MoveTracer,
     AutoCloseable {
@@ -67,7 +69,7 @@
     ) {
         val now = wallMs()
         val parent = W3CTraceContextPropagator.getInstance().extract(Context.root(), trace, HeaderGetter)
-        // A context that cannot be read begins no trace of its own: it would look like a move without an order.
+        // A span without a parent would look like a move that nobody ordered.
         if (!Span.fromContext(parent).spanContext.isValid) return
         val span =
             tracer
@@ -81,12 +83,12 @@
 
     private fun header(context: SpanContext) = "00-${context.traceId}-${context.spanId}-${context.traceFlags.asHex()}"
 
-    /** Writes what has ended to the file. */
+    /** Writes the spans that have ended to the file, for two seconds at the most. */
     override fun close() {
         provider.shutdown().join(CLOSE_MS, TimeUnit.MILLISECONDS)
     }
 
-    /** Presents a context as the only header that there is. */
+    /** Presents a trace context as the only header of a request. */
     private object HeaderGetter : TextMapGetter<String> {
         override fun keys(carrier: String) = listOf(TRACE_PARENT)
 
@@ -99,7 +101,7 @@
     private companion object {
         const val TRACE_PARENT = "traceparent"
 
-        /** Milliseconds between two writings. */
+        /** Milliseconds between two batches. */
         const val BATCH_MS = 1_000L
 
         /** Milliseconds that closing may take. */
