--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -13,9 +13,9 @@
 import mintfield.app.heartbeat.HeartbeatEndpoint
 import mintfield.app.peer.PeerLink
 import mintfield.app.replica.JobReplicator
-import mintfield.app.sharding.MoveTracing
+import mintfield.app.sharding.MoveTracerFactory
 import mintfield.app.sharding.ShardElection
-import mintfield.app.sharding.ShardLeader
+import mintfield.app.sharding.ShardLeadership
 import mintfield.app.sharding.ShardingActivation
 import mintfield.app.sharding.ShardingContext
 import mintfield.app.upgrade.VersionRecords
@@ -64,7 +64,7 @@
     private val cancellations = CancellationLog(Random.nextLong(), CancellationLog.Size.of(settings))
     private val sharding =
         settings.operator.sharding?.let {
-            ShardingContext(it, services.store, { id -> replicator.live[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracing.of(settings))
+            ShardingContext(it, services.store, { id -> replicator.live[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracerFactory.create(settings))
         }
     private val activation = ShardingActivation(services.store)
     private val succession = ShardSuccession(settings.member, ObservedPeers()) { sharding?.assignments?.drained.orEmpty() }
@@ -94,7 +94,7 @@
         shard: ShardSettings,
     ): LeaderElection {
         val campaignDelayMs = { succession.campaignDelayMs(shard, elections.leaders.size) }
-        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeader(shared, shard, loop, services.store, ::queryForeignTasks) }
+        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeadership(shared, shard, loop, services.store, ::queryForeignTasks) }
         return LeaderElection(loop, scope, services, replicator, cancellationWatermark, part) { peers.announce() }
     }
 
--- a/src/main/kotlin/mintfield/app/cli/CommandLoop.kt
+++ b/src/main/kotlin/mintfield/app/cli/CommandLoop.kt
@@ -8,25 +8,25 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.CompletableFuture
 
-/** Runs an operators' command that asks the systems outside, on an event loop of its own that ends with it. */
+/** Runs an operators' command that calls external services, on an event loop of its own that ends with it. */
 object CommandLoop {
-    /** The exit code that [action] returns. */
+    /** Blocks until [action] has ended, and returns its exit code. */
     fun run(
         settings: Settings,
-        action: suspend (ExternalServices) -> Int,
-    ): Int {
+        action: suspend (ExternalServices) -> ExitCode,
+    ): ExitCode {
         val loop = EventLoop()
         loop.start()
         val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
-        val code = CompletableFuture<Int>()
+        val exitCode = CompletableFuture<ExitCode>()
         loop.post {
             val services = ExternalServices(settings, loop, group)
-            loop.scope().launch { code.complete(action(services)) }
+            loop.scope().launch { exitCode.complete(action(services)) }
         }
         return try {
-            code.get()
+            exitCode.get()
         } finally {
-            // The store's connections are bounded; whoever asks often, such as a test, would use them up.
+            // The store accepts a limited number of connections, which a process with many commands, such as a test, would use up.
             group.shutdownNow()
             loop.stop()
         }
--- a/src/main/kotlin/mintfield/app/cli/MachineRanges.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachineRanges.kt
@@ -3,8 +3,8 @@
 import org.roaringbitmap.RoaringBitmap
 
 /**
- * Names of many machines in few words. Names that end in a number are kept as one compressed bitmap for each beginning and width, and told
- * as ranges: `m-000001..000040`.
+ * The names of many machines, described as ranges such as `m-000001..000040`. The numbers at the end of names are kept as one compressed
+ * bitmap for each prefix and number of digits.
  */
 class MachineRanges(
     names: Collection<String>,
@@ -22,7 +22,7 @@
     }
 
     private fun add(name: String) {
-        val digits = name.takeLastWhile(Char::isDigit).takeLast(MOST_DIGITS)
+        val digits = name.takeLastWhile(Char::isDigit).takeLast(MAX_DIGITS)
         if (digits.isEmpty()) {
             others.add(name)
             return
@@ -30,26 +30,26 @@
         numbered.getOrPut(Series(name.dropLast(digits.length), digits.length)) { RoaringBitmap() }.add(digits.toInt())
     }
 
-    /** The names, in order, as single ones and ranges. */
+    /** The names as single ones and ranges: first those that end in a number, then the others, each in order. */
     fun describe(): List<String> = numbered.flatMap { (series, numbers) -> ranges(series, numbers) } + others.sorted()
 
     private fun ranges(
         series: Series,
         numbers: RoaringBitmap,
     ): List<String> {
-        val found = ArrayList<String>()
+        val described = ArrayList<String>()
         var first = numbers.nextValue(0)
         while (first >= 0) {
             val last = numbers.nextAbsentValue(first.toInt()) - 1
             val from = series.prefix + first.toString().padStart(series.width, '0')
-            found.add(if (last > first) "$from..${last.toString().padStart(series.width, '0')}" else from)
+            described.add(if (last > first) "$from..${last.toString().padStart(series.width, '0')}" else from)
             first = numbers.nextValue((last + 1).toInt())
         }
-        return found
+        return described
     }
 
     private companion object {
-        /** Digits that fit a bitmap of 32 bits. */
-        const val MOST_DIGITS = 9
+        /** Digits of a number that certainly fits 32 bits. */
+        const val MAX_DIGITS = 9
     }
 }
--- a/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
@@ -1,74 +1,85 @@
 package mintfield.app.cli
 
-import mintfield.app.sharding.MachineOrders
-import mintfield.app.sharding.MoveTracing
-import mintfield.app.sharding.OrderOutcome
+import mintfield.app.sharding.CommandOutcome
+import mintfield.app.sharding.MoveTracerFactory
+import mintfield.app.sharding.OperatorCommands
 import mintfield.core.model.Settings
 import mintfield.core.ownership.AssignmentRefusal
+import mintfield.core.ownership.ShardingSettings
 
-/** The command `machines`: shows who owns machines and which of them move, orders moves and takes them back, drains controllers. */
+/** The command `machines`: shows who owns machines and which of them move, orders and cancels moves, drains controllers, ends sharding. */
 class MachinesCommand(
     private val settings: Settings,
-    /** Whether `show` prints JSON. */
+    private val sharding: ShardingSettings,
+    /** Whether all shards are shown as JSON. */
     private val json: Boolean = false,
     private val print: (String) -> Unit,
 ) {
     private val controllers = (settings.peers.map { it.member } + settings.member).sorted()
 
-    /** Runs the command with [words] after its name; returns the exit code, or null if the words cannot be used. */
-    fun run(words: List<String>): Int? {
-        if (settings.operator.sharding == null) return refused("machines are not shared: the operators' file has no block sharing")
-        return when {
-            words == listOf("show") -> onLoop { show(it) }
-            words.size == 2 && words[0] == "show" -> onLoop { show(it, words[1]) }
-            words.size == 3 && words[0] == "move" -> onLoop { printOutcome(it.move(words[1], words[2])) }
-            words.size == 2 && words[0] == "cancel" -> onLoop { printOutcome(it.cancel(words[1])) }
-            words == listOf("unshare") -> onLoop { printOutcome(it.endSharding()) }
-            words.size == 2 && words[0] == "drain" -> onLoop { printOutcome(it.drain(words[1])) }
-            words.size == 2 && words[0] == "resume" -> onLoop { printOutcome(it.resume(words[1])) }
-            else -> null
+    /** Carries out [request] on the store; blocks until it has answered. */
+    fun run(request: MachinesRequest): ExitCode =
+        onLoop { commands ->
+            when (request) {
+                MachinesRequest.ShowAll -> showAll(commands)
+                is MachinesRequest.ShowShard -> show(commands, request.shard)
+                is MachinesRequest.Move -> printOutcome(commands.move(request.machine, request.target))
+                is MachinesRequest.Cancel -> printOutcome(commands.cancel(request.machine))
+                is MachinesRequest.Drain -> printOutcome(commands.drain(request.controller))
+                is MachinesRequest.Resume -> printOutcome(commands.resume(request.controller))
+                MachinesRequest.EndSharding -> printOutcome(commands.endSharding())
+            }
         }
-    }
 
-    private fun onLoop(action: suspend (MachineOrders) -> Int): Int {
-        val tracer = MoveTracing.of(settings, "machines")
+    private fun onLoop(action: suspend (OperatorCommands) -> ExitCode): ExitCode {
+        val tracer = MoveTracerFactory.create(settings, TRACED_AS)
         return try {
-            CommandLoop.run(settings) { action(MachineOrders(settings.operator.sharding!!, controllers, it.store, tracer)) }
+            CommandLoop.run(settings) { services -> action(OperatorCommands(sharding, controllers, services.store, tracer)) }
         } finally {
             (tracer as? AutoCloseable)?.close()
         }
     }
 
-    private suspend fun show(orders: MachineOrders): Int {
-        val status = orders.status() ?: return unavailable()
+    private suspend fun showAll(commands: OperatorCommands): ExitCode {
+        val status = commands.status() ?: return unavailable()
         if (json) print(OwnershipPrinter.json(status)) else OwnershipPrinter.lines(status).forEach(print)
-        return DONE
+        return ExitCode.DONE
     }
 
     private suspend fun show(
-        orders: MachineOrders,
+        commands: OperatorCommands,
         shard: String,
-    ): Int {
-        val status = orders.status() ?: return unavailable()
-        val shown = status.shards.firstOrNull { it.name == shard } ?: return refused("refused: ${AssignmentRefusal.UNKNOWN_SHARD.reason}")
-        MachineRanges(shown.machines).describe().forEach(print)
-        return DONE
+    ): ExitCode {
+        val status = commands.status() ?: return unavailable()
+        val summary = status.shards.firstOrNull { it.name == shard } ?: return refused(AssignmentRefusal.UNKNOWN_SHARD.reason)
+        MachineRanges(summary.machines).describe().forEach(print)
+        return ExitCode.DONE
     }
 
-    private fun printOutcome(outcome: OrderOutcome): Int =
+    private fun printOutcome(outcome: CommandOutcome): ExitCode =
         when (outcome) {
-            OrderOutcome.Done -> DONE.also { print("done") }
-            is OrderOutcome.Refused -> refused("refused: ${outcome.reason}")
-            OrderOutcome.Unavailable -> unavailable()
+            CommandOutcome.Done -> done()
+            is CommandOutcome.Refused -> refused(outcome.refusal.reason)
+            CommandOutcome.Unavailable -> unavailable()
         }
 
-    private fun refused(reason: String): Int = REFUSED.also { print(reason) }
+    private fun done(): ExitCode {
+        print("done")
+        return ExitCode.DONE
+    }
 
-    private fun unavailable(): Int = UNAVAILABLE.also { print("the state service does not answer; look with show before you order again") }
+    private fun refused(reason: String): ExitCode {
+        print("refused: $reason")
+        return ExitCode.REFUSED
+    }
+
+    private fun unavailable(): ExitCode {
+        print("the state service does not answer; look with show before you order again")
+        return ExitCode.UNAVAILABLE
+    }
 
-    companion object {
-        const val DONE = 0
-        const val REFUSED = 1
-        const val UNAVAILABLE = 3
+    private companion object {
+        /** The name of this process in traces, in place of a controller's. */
+        const val TRACED_AS = "machines"
     }
 }
--- a/src/main/kotlin/mintfield/app/cli/OwnershipPrinter.kt
+++ b/src/main/kotlin/mintfield/app/cli/OwnershipPrinter.kt
@@ -4,8 +4,9 @@
 import mintfield.core.ownership.Assignment
 import mintfield.io.json.Json
 
-/** Presents who owns what to operators, as lines or, for programs, as JSON by docs/schemas/machines-show.schema.json. */
+/** Formats an [OwnershipStatus] for operators, as lines, or for programs, as JSON by docs/schemas/machines-show.schema.json. */
 object OwnershipPrinter {
+    /** A line for each shard, each move and each drained controller. */
     fun lines(status: OwnershipStatus): List<String> {
         val shards = status.shards.map { "${it.name}: ${it.machines.size} machines, led by ${it.leader ?: "nobody"}" }
         val moves = status.moves.map { (machine, move) -> "$machine: ${describe(move)}" }
@@ -16,6 +17,7 @@
         return shards + moves + drained
     }
 
+    /** The status as one JSON object. */
     fun json(status: OwnershipStatus): String =
         String(
             Json.obj {
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -171,7 +171,18 @@
         Log.info("leading ${shard?.name ?: ""}".trim() + " with term $term")
         val terms = scope + SupervisorJob(scope.coroutineContext[Job])
         val fresh =
-            Leader(loop, terms, services, replicator, nonce, lease, clock, term, cancellationWatermark, part?.leader()) { reason -> depose(terms, reason) }
+            Leader(
+                loop,
+                terms,
+                services,
+                replicator,
+                nonce,
+                lease,
+                clock,
+                term,
+                cancellationWatermark,
+                part?.newLeadership(),
+            ) { reason -> depose(terms, reason) }
         leader = fresh
         fresh.start()
         announce()
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -7,6 +7,7 @@
 import mintfield.app.ExternalServices
 import mintfield.app.replica.JobReplicator
 import mintfield.app.sharding.ShardLeader
+import mintfield.app.sharding.ShardLeadership
 import mintfield.core.HeartbeatResponse
 import mintfield.core.Scheduler
 import mintfield.core.constants.FleetConstants
@@ -38,19 +39,19 @@
     private val clock: LeaseClock,
     term: Long,
     private val cancellationWatermark: CancellationWatermark,
-    /** The share that it leads, if machines are shared. */
-    val shardLeader: ShardLeader?,
+    /** The shard that it leads, if machines are shared. */
+    private val shardLeadership: ShardLeadership?,
     private val deposed: (String) -> Unit,
 ) : JobListener {
     private val settings = services.settings
     private val store = services.store
-    private val keys = LeaderKeys(shardLeader?.shard?.name)
+    private val keys = LeaderKeys(shardLeadership?.shard?.name)
     val scheduler =
         Scheduler(
             settings,
             term,
             { replicator.live[it]?.cancelled == true },
-            shardLeader?.ownership ?: WholeFleet,
+            shardLeadership?.ownership ?: WholeFleet,
             replicator.dependencies,
             services.stateLimits,
         ) { Log.info(it) }
@@ -71,14 +72,13 @@
     private val replay = Replay(loop, services, replicator, scheduler, keys, ::schedules)
     private val cloudCalls = CloudCallExecutor(loop, services.cloud, scheduler.fleet)
 
-    init {
-        shardLeader?.attach(scheduler)
-    }
+    /** What it does for its shard, if machines are shared. */
+    val shardLeader: ShardLeader? = shardLeadership?.leader(scheduler)
 
     private fun schedules(spec: JobSpec) =
         settings.operator.sharding
             ?.ofTeam(spec.team)
-            ?.name == shardLeader?.shard?.name
+            ?.name == shardLeadership?.shard?.name
 
     fun mayAct() = clock.mayAct(loop.nowMs())
 
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -13,13 +13,14 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
-/** Keeps this node's [table] of assignments, and who is drained, by the store. */
+/** Keeps this controller's replica of the assignments, and of the drained controllers, up to date with the store. */
 class AssignmentReplica(
     private val store: StoreClient,
 ) {
+    /** The assignments as they were last read. */
     val table = AssignmentTable()
 
-    /** The record of drained controllers, as it was last seen. */
+    /** The record of drained controllers as it was last read. */
     var drainRecord = DrainRecord.NONE
         private set
 
@@ -27,12 +28,12 @@
     var drained: Set<String> = emptySet()
         private set
 
-    /** Follows changes as they come, until cancelled. */
+    /** Applies changes as they come, until cancelled. */
     suspend fun follow() {
         while (true) if (!catchUp(StoreConstants.JOBS_WATCH_MS)) delay(StoreConstants.STORE_RETRY_MS)
     }
 
-    /** Shows all that had happened when this was called; false if the store cannot be asked. */
+    /** Applies everything that was written before this call; returns false if the store does not answer. */
     suspend fun current(): Boolean = catchUp(waitMs = 0)
 
     private suspend fun catchUp(waitMs: Long): Boolean {
@@ -49,6 +50,7 @@
         var readAt = 0L
         do {
             val page = (store.list(Keys.ASSIGNMENTS, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
+            // The first page is the oldest: nothing that was written before it is missing.
             if (readAt == 0L) readAt = page.revision
             page.entries.forEach { apply(it.key, it.data, it.revision) }
             after = page.entries.lastOrNull()?.key
@@ -57,15 +59,26 @@
         return true
     }
 
+    /** Applies one record; [data] is null if it was deleted. */
     private fun apply(
         key: String,
         data: Map<String, Any?>?,
         revision: Long,
     ) {
-        if (key == Keys.DRAINED) return applyDrained(data, revision)
+        if (key == Keys.DRAINED) applyDrained(data, revision) else applyBlock(key, data, revision)
+    }
+
+    private fun applyBlock(
+        key: String,
+        data: Map<String, Any?>?,
+        revision: Long,
+    ) {
         val number = key.removePrefix(Keys.ASSIGNMENTS).toIntOrNull()
-        if (number == null || number !in 0 until ShardingConstants.ASSIGNMENT_BLOCKS) return Log.error("$key: not a block of assignments; it is left alone")
-        // Nobody deletes a block: one that is gone says nothing of its machines, least of all that they are gone.
+        if (number == null || number !in 0 until ShardingConstants.ASSIGNMENT_BLOCKS) {
+            Log.error("$key: not a block of assignments; it is left alone")
+            return
+        }
+        // No controller deletes a block, so a deleted one says nothing of its machines, least of all that they are gone.
         val assignments = data?.let(AssignmentCodec::parse)
         if (assignments == null) Log.error("$key: the assignments of revision $revision cannot be read; they are kept, and their machines left alone")
         table.apply(number, AssignmentBlock(revision, assignments))
--- /dev/null
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
@@ -0,0 +1,82 @@
+package mintfield.app.sharding
+
+import kotlinx.coroutines.delay
+import mintfield.app.leader.Leader
+import mintfield.core.constants.ShardingConstants
+import mintfield.core.constants.StoreConstants
+import mintfield.core.ownership.AssignmentTransaction
+import mintfield.core.ownership.HandoverAgent
+import mintfield.core.ownership.LeaderCondition
+import mintfield.core.ownership.ShardSettings
+import mintfield.io.loop.EventLoop
+import mintfield.io.ownership.AssignmentCodec
+import mintfield.io.store.KeyWrite
+import mintfield.io.store.Keys
+import mintfield.io.store.LeaderKeys
+import mintfield.io.store.Precondition
+import mintfield.io.store.StoreClient
+import mintfield.io.store.StoreResult
+import mintfield.io.store.TxnOutcome
+
+/** Writes to the store the changes of assignments that [agent] wants, one transaction at a time, and tells it what became of each. */
+internal class AssignmentWriter(
+    shard: ShardSettings,
+    private val loop: EventLoop,
+    private val store: StoreClient,
+    private val agent: HandoverAgent,
+    private val assignments: AssignmentReplica,
+) {
+    private val leaderKey = LeaderKeys(shard.name).leader
+
+    /** Writes while [leader] may act, until cancelled. */
+    suspend fun run(leader: Leader) {
+        while (true) {
+            val transaction = if (leader.mayAct()) agent.next(loop.nowMs()) else null
+            if (transaction == null) delay(ShardingConstants.ASSIGNMENT_INTERVAL_MS) else write(leader, transaction)
+        }
+    }
+
+    private suspend fun write(
+        leader: Leader,
+        transaction: AssignmentTransaction,
+    ) {
+        val writes = transaction.blocks.map { (number, block) -> KeyWrite.Put(Keys.assignments(number), AssignmentCodec.write(block.content)) }
+        leader.wrote(writes.size)
+        when (val result = store.txn(preconditions(transaction), writes, urgent = true)) {
+            is StoreResult.Unknown -> {
+                agent.unanswered(transaction)
+                leader.wake()
+            }
+            is StoreResult.Refused -> {
+                agent.refused(transaction)
+                delay(StoreConstants.STORE_RETRY_MS)
+            }
+            is StoreResult.Ok -> answered(leader, transaction, result.value)
+        }
+    }
+
+    /** This leader still leads at its term, nobody leads the shards that must have no leader, and no block has changed. */
+    private fun preconditions(transaction: AssignmentTransaction): List<Precondition> {
+        val revisionByLeaderKey = LinkedHashMap<String, Long>()
+        revisionByLeaderKey[leaderKey] = transaction.term
+        for (condition in transaction.conditions) {
+            if (condition is LeaderCondition.Leaderless) revisionByLeaderKey[LeaderKeys(condition.shard).leader] = 0
+        }
+        return revisionByLeaderKey.map { Precondition(it.key, it.value) } +
+            transaction.blocks.map { (number, block) -> Precondition(Keys.assignments(number), block.guardRevision) }
+    }
+
+    private suspend fun answered(
+        leader: Leader,
+        transaction: AssignmentTransaction,
+        outcome: TxnOutcome,
+    ) {
+        if (outcome is TxnOutcome.Applied) {
+            agent.applied(transaction, outcome.revision, loop.nowMs())
+            return leader.wake()
+        }
+        agent.refused(transaction)
+        if (outcome is TxnOutcome.Failed && leaderKey in outcome.keys) leader.checkLeaderKey()
+        assignments.current()
+    }
+}
--- a/src/main/kotlin/mintfield/app/sharding/MoveTracing.kt
+++ b/src/main/kotlin/mintfield/app/sharding/MoveTracerFactory.kt
@@ -6,10 +6,10 @@
 import mintfield.io.tracing.OpenTelemetryMoveTracer
 import java.io.IOException
 
-/** Chooses how moves are traced: not at all, unless operators name a file. */
-object MoveTracing {
-    /** The tracer of the process [name]. A file that cannot be written costs the traces, not the service. */
-    fun of(
+/** Makes the tracer of moves of machines that operators ask for: none, unless they name a file. */
+object MoveTracerFactory {
+    /** The tracer of the process [name], by default the controller. A file that cannot be written costs the traces, not the service. */
+    fun create(
         settings: Settings,
         name: String = settings.member,
     ): MoveTracer {
--- a/src/main/kotlin/mintfield/app/sharding/ShardElection.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardElection.kt
@@ -2,12 +2,12 @@
 
 import mintfield.core.ownership.ShardSettings
 
-/** What a controller's part in the leadership of one share needs besides that in the only leadership. */
+/** What the election of a shard's leader needs besides what that of an only leader does. */
 class ShardElection(
     val shard: ShardSettings,
     val activation: ShardingActivation,
-    /** How long to wait now before standing for the share. */
+    /** Milliseconds to wait now before a campaign for the shard. */
     val campaignDelayMs: () -> Long,
-    /** Makes what a new leader of the share needs. */
-    val leader: () -> ShardLeader,
+    /** Called once for each term: makes what its leader needs for the shard. */
+    val newLeadership: () -> ShardLeadership,
 )
