--- a/src/main/kotlin/mintfield/app/cli/ArgumentParser.kt
+++ b/src/main/kotlin/mintfield/app/cli/ArgumentParser.kt
@@ -59,17 +59,24 @@
     private fun command(line: CommandLine): Invocation {
         val words = line.argList
         val arguments = words.drop(1)
-        val files = SettingsFiles(line.getOptionValue(CONFIG), line.getOptionValue(OPERATOR))
         return when (words.firstOrNull()) {
-            null -> Invocation.Serve(files)
+            null -> withSettings(line) { Invocation.Serve(it) }
             CHECK -> arguments.singleOrNull()?.let { Invocation.Check(it) } ?: Invocation.Unusable("$CHECK expects one FILE")
-            MACHINES -> Invocation.Machines(files, line.hasOption(JSON), MachinesRequest.parse(arguments))
+            MACHINES -> withSettings(line) { Invocation.Machines(it, line.hasOption(JSON), MachinesRequest.parse(arguments)) }
             // The operators' file plays no part in how a job stands.
             PIPELINE ->
-                arguments.singleOrNull()?.let { Invocation.Pipeline(files.copy(operator = null), it) }
+                arguments.singleOrNull()?.let { job -> withSettings(line) { Invocation.Pipeline(it.copy(operator = null), job) } }
                     ?: Invocation.Unusable("$PIPELINE expects one JOB")
             WARM_UP -> Invocation.WarmUp
             else -> Invocation.Unusable("unknown command ${words.first()}; see --help")
         }
     }
+
+    private inline fun withSettings(
+        line: CommandLine,
+        invocation: (SettingsFiles) -> Invocation,
+    ): Invocation {
+        val config = line.getOptionValue(CONFIG) ?: return Invocation.Unusable("expected --$CONFIG FILE; see --$HELP")
+        return invocation(SettingsFiles(config, line.getOptionValue(OPERATOR)))
+    }
 }
--- a/src/main/kotlin/mintfield/app/cli/PipelineReader.kt
+++ b/src/main/kotlin/mintfield/app/cli/PipelineReader.kt
@@ -2,8 +2,9 @@
 
 import mintfield.core.model.FinalState
 import mintfield.io.store.Entry
+import mintfield.io.store.FinalStateCodec
+import mintfield.io.store.JobRecordCodec
 import mintfield.io.store.Keys
-import mintfield.io.store.Records
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
@@ -57,7 +58,7 @@
 
     private fun describe(recorded: Recorded): String =
         when (recorded) {
-            is Recorded.Ended -> JobPhaseCodec.write(recorded.state.stage)
+            is Recorded.Ended -> JobPhaseCodec.write(recorded.state.phase)
             is Recorded.Unfinished -> {
                 val state = if (recorded.cancelled) "withdrawn, its tasks are being stopped" else "unfinished"
                 if (recorded.predecessors.isEmpty()) state else "$state, submitted to start after ${recorded.predecessors.size} others:"
@@ -79,10 +80,10 @@
         return live.value?.let(::unfinished) ?: Recorded.Nothing
     }
 
-    private fun ended(entry: Entry): Recorded = Records.parseFinal(entry.data)?.let { Recorded.Ended(it) } ?: Recorded.Unreadable
+    private fun ended(entry: Entry): Recorded = FinalStateCodec.decode(entry.data).valueOrNull?.let { Recorded.Ended(it) } ?: Recorded.Unreadable
 
     private fun unfinished(entry: Entry): Recorded {
-        val job = Records.parseLive(entry.data, entry.revision) { emptyList() } ?: return Recorded.Unreadable
+        val job = JobRecordCodec.decode(entry.data, entry.revision) { emptyList() }.valueOrNull ?: return Recorded.Unreadable
         return Recorded.Unfinished(job.cancelled, job.spec.predecessors)
     }
 
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
@@ -70,7 +70,7 @@
         machine.attempts
             .filter { it.state == AttemptState.PLANNED && !it.startSent }
             .forEach { cluster.stop(it, nowMs, "its machine is handed over") }
-        return !machine.directInFlight && machine.count(AttemptState.PLANNING) == 0
+        return !machine.directRoute.inFlight && machine.count(AttemptState.PLANNING) == 0
     }
 
     private fun drops(): List<AssignmentChange> {
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
@@ -35,9 +35,9 @@
     ) {
         for (ref in refs) {
             val foreignTask = machine.foreignTasks[ref.task]?.takeIf { it.status.attempt == ref.attempt } ?: continue
-            if (ref.action == ForeignTaskRef.Action.STOP) foreignTask.stopWanted = true
-            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreignTask.acknowledgeWanted = true
-            machine.reconciled = false
+            if (ref.action == ForeignTaskRef.Action.STOP) foreignTask.wantStop()
+            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreignTask.wantAcknowledge()
+            machine.occupancy.markReconciled(false)
         }
     }
 
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -91,7 +91,7 @@
         machine: String,
         nowMs: Long,
     ) {
-        fleet.adopted(machine, nowMs)
+        fleet.registry.adopt(machine, nowMs)
         moveTimer.adopted(machine, nowMs)
     }
 
@@ -100,7 +100,7 @@
         settleReleasesInDoubt()
         table.assigned
             .filter { it !in cluster.machines && ownership.owns(it) && it !in ownership.terminatedMachines }
-            .forEach { fleet.assumed(it, nowMs) }
+            .forEach { fleet.registry.assume(it, nowMs) }
         for (machine in cluster.machines.values.toList()) reconcile(machine, nowMs)
     }
 
@@ -116,7 +116,7 @@
         nowMs: Long,
     ) {
         val owned = ownership.owns(machine.id)
-        if (machine.state == MachineState.OWNED_ELSEWHERE && owned) fleet.adopted(machine.id, nowMs)
+        if (machine.state == MachineState.OWNED_ELSEWHERE && owned) fleet.registry.adopt(machine.id, nowMs)
         if (canBeHandedOver(machine) && !owned && !ownership.isReleaseUnderWay(machine.id)) fleet.handedOver(machine.id, nowMs)
         if (machine.state == MachineState.OWNED_ELSEWHERE && ownership.isGone(machine.id)) removeTerminated(machine, nowMs)
     }
--- a/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
@@ -56,7 +56,7 @@
         ownership.removeClaim(machine)
         fleet.ownerless.remove(machine)
         val intent = intentByMachine.remove(machine)
-        fleet.claimed(machine, intent, nowMs)
+        fleet.registry.claimed(machine, intent, nowMs)
         if (intent != null && intent !in intentByMachine.values) fleet.completedIntents.add(intent.idempotencyKey)
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -181,6 +181,9 @@
     /** Machines that may be moved while they are in use, those with the most free CPUs first; none that came a short time ago. */
     private fun movableMachines(nowMs: Long): List<Machine> =
         cluster.machines.values
-            .filter { it.state == MachineState.UP && cluster.ownership.mayStart(it.id) && nowMs - it.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS }
-            .sortedByDescending { it.freeCpus }
+            .filter {
+                it.state == MachineState.UP &&
+                    cluster.ownership.mayStart(it.id) &&
+                    nowMs - it.origin.adoptedAtMs > ShardingConstants.MIN_STAY_AFTER_MOVE_MS
+            }.sortedByDescending { it.freeCpus }
 }
