--- a/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
+++ b/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
@@ -73,7 +73,7 @@
             if (status?.state == TaskState.ENDED) {
                 endedTasks.getOrPut(query.machine) { HashMap() }[ref.task] = EndedTask(ref.task, ref.attempt, status.cause == ExitReason.DONE)
             }
-            scheduler.heartbeats.statusFromOwner(attempt, status, nowMs)
+            scheduler.reconciler.statusFromOwner(attempt, status, nowMs)
         }
         removeIfEmpty(query.machine)
     }
