--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -21,9 +21,9 @@
 import mintfield.app.peer.PeerStatusSender
 import mintfield.app.replica.JobReplicator
 import mintfield.app.sharding.ForeignTaskRouter
-import mintfield.app.sharding.MoveTracing
+import mintfield.app.sharding.MoveTracerFactory
 import mintfield.app.sharding.ShardElection
-import mintfield.app.sharding.ShardLeader
+import mintfield.app.sharding.ShardLeadership
 import mintfield.app.sharding.ShardTransfers
 import mintfield.app.sharding.ShardingActivation
 import mintfield.app.sharding.ShardingContext
@@ -68,7 +68,7 @@
 
     private val sharding =
         settings.operator.sharding?.let {
-            ShardingContext(it, services.store, { id -> replicator.live[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracing.of(settings))
+            ShardingContext(it, services.store, { id -> replicator.live[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracerFactory.create(settings))
         }
     private val activation = ShardingActivation(services.store)
     private val succession = ShardSuccession(settings.member, ObservedPeers()) { sharding?.assignments?.drained.orEmpty() }
@@ -106,7 +106,7 @@
         shard: ShardSettings,
     ): LeaderElection {
         val campaignDelayMs = { succession.campaignDelayMs(shard, elections.leaders.size) }
-        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeader(shared, shard, loop, services.store, foreignTasks) }
+        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeadership(shared, shard, loop, services.store, foreignTasks) }
         return LeaderElection(loop, scope, services, replicator, cancellationWatermark, part) { statusSender.announce() }
     }
 
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -186,7 +186,7 @@
         Log.info("leading ${shard?.name ?: ""}".trim() + " with term ${tenure.term}")
         val leaderScope = scope + SupervisorJob(scope.coroutineContext[Job])
         val fresh =
-            Leader(loop, leaderScope, services, replicator, tenure, cancellationWatermark, part?.leader()) { reason -> depose(leaderScope, reason) }
+            Leader(loop, leaderScope, services, replicator, tenure, cancellationWatermark, part?.newLeadership()) { reason -> depose(leaderScope, reason) }
         leader = fresh
         fresh.start()
         announce()
