--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -118,7 +118,7 @@
         job.progress.remove(attempt)
         quotas.usage(job.spec.team).subtract(job.spec)
         // The record still names the old machine: unless it is written anew, a successor waits for proof from a machine long gone.
-        job.progress.unwritten.waitSince(nowMs)
+        job.unwritten.waitSince(nowMs)
         val isRoutine = proof == DONE || proof == DESCRIBED_ANEW || proof == NEVER_SENT
         if (!isRoutine) log("released ${job.spec.id}/${attempt.index} attempt ${attempt.number} from ${attempt.machine.id}: $proof")
     }
@@ -149,7 +149,7 @@
         nowMs: Long,
     ) {
         if (!job.progress.setDone(index)) return
-        job.progress.unwritten.waitSince(nowMs)
+        job.unwritten.waitSince(nowMs)
     }
 
     /** The task that [attempt] is one of. */
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -67,7 +67,7 @@
         cluster.replayedAtMs = nowMs
         // What was replayed is written already.
         for (job in cluster.jobs.values) {
-            job.progress.unwritten.clear()
+            job.unwritten.clear()
         }
         cancellations.applyToReplayedJobs()
         for (job in cluster.jobs.values) if (job.cancelled) cluster.stopAll(job, nowMs)
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -18,14 +18,17 @@
     /** Names of the machine types that its tasks may run on. */
     val compatibleTypes: Set<String> = accepted.compatibleTypes.toSet()
 
+    /** Its tasks whose state the store does not have. */
+    val unwritten = UnwrittenTasks()
+
     /** The state of its tasks. */
-    val progress = TaskProgress(spec.id, spec.tasks)
+    val progress = TaskProgress(spec.id, spec.tasks, unwritten)
 
     /** The round records that cover its tasks. */
     internal val coverage = RoundCoverage()
 
     /** Its failures and its health. */
-    val failureRecord = JobFailureRecord(spec.id)
+    val failureRecord = JobFailureRecord(this)
 
     // ---- its record in the store ----
 
@@ -136,7 +139,20 @@
     val failedOn: Set<String> get() = failureRecord.failedOn
 
     /** No task is planned before this moment, in steady milliseconds. */
-    val notBeforeMs: Long get() = failureRecord.notBeforeMs
+    var notBeforeMs = 0L
+        private set
+
+    /** The most tasks that it may have at once after its failures. */
+    private var failureCap = Int.MAX_VALUE
+
+    /** What [failureRecord] permits has changed. It is kept here since each round reads it of every job. */
+    internal fun limitStarts(
+        notBeforeMs: Long,
+        failureCap: Int,
+    ) {
+        this.notBeforeMs = notBeforeMs
+        this.failureCap = failureCap
+    }
 
     /** The zone that its next task must be in, if there is one: that of its specification, or of its other tasks if all must share one. */
     val boundZone: String?
@@ -146,15 +162,14 @@
         }
 
     /** The most tasks that it may have at once. A gang is planned as a whole. */
-    private val concurrencyCap: Int get() = if (spec.shape == Shape.GANG) Int.MAX_VALUE else failureRecord.concurrencyCap
+    private val concurrencyCap: Int get() = if (spec.shape == Shape.GANG) Int.MAX_VALUE else failureCap
 
     /** How many tasks may be planned now. */
     val schedulableTasks: Int
         get() {
             if (!ready) return 0
             val cap = concurrencyCap
-            if (cap == Int.MAX_VALUE) return waitingCount
-            return minOf(waitingCount, maxOf(0, cap - activeAttempts.size))
+            return if (cap == Int.MAX_VALUE) waitingCount else minOf(waitingCount, maxOf(0, cap - activeAttempts.size))
         }
 
     /** How many tasks capacity should be provided for: a suspect job needs it for its probes only. */
@@ -162,7 +177,7 @@
         get() =
             when {
                 !ready -> 0
-                health == JobHealth.SUSPECT -> minOf(spec.tasks - doneTasks, concurrencyCap)
+                failureCap < Int.MAX_VALUE && health == JobHealth.SUSPECT -> minOf(spec.tasks - doneTasks, concurrencyCap)
                 else -> spec.tasks - doneTasks
             }
 
@@ -178,7 +193,7 @@
     val waitingCount: Int get() = progress.waitingCount
 
     /** Whether all its tasks are done. */
-    val allDone: Boolean get() = doneTasks == spec.tasks
+    val allDone: Boolean get() = progress.isComplete
 
     /** Whether any of its tasks is done, or is planned now. */
     val begun: Boolean get() = doneTasks > 0 || activeAttempts.isNotEmpty()
--- a/src/main/kotlin/mintfield/core/jobs/JobFailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobFailureRecord.kt
@@ -8,7 +8,7 @@
  * few tasks. [FailureAttribution] decides on its changes.
  */
 class JobFailureRecord(
-    private val jobId: String,
+    private val job: Job,
 ) {
     private val machines = HashSet<String>()
     private val unattributed = HashMap<Machine, Int>()
@@ -29,9 +29,7 @@
     var longestFailMs = 0L
         private set
 
-    /** No task is planned before this moment, in steady milliseconds. */
-    var notBeforeMs = 0L
-        private set
+    private var notBeforeMs = 0L
 
     /** The machines that have ever failed a task of the job. */
     val failedOn: Set<String> get() = machines
@@ -40,7 +38,7 @@
     val unattributedFailures: Map<Machine, Int> get() = unattributed
 
     /** The most tasks that the job may have at once: few while it has only failed. */
-    val concurrencyCap: Int
+    private val concurrencyCap: Int
         get() =
             when {
                 health == JobHealth.SUSPECT -> PlacementConstants.PROBE_TASKS
@@ -51,6 +49,7 @@
     /** A task has succeeded. */
     fun recordSuccess() {
         failures = 0
+        limitStarts()
     }
 
     /** A task has failed on [machine], [ranMs] after it was first seen to run. */
@@ -63,6 +62,7 @@
         machines.add(machine.id)
         longestFailMs = maxOf(longestFailMs, ranMs)
         notBeforeMs = nowMs + PlacementConstants.FAILURE_BACKOFF_MS
+        limitStarts()
     }
 
     /** The last failure may be the job's or that of [machine]. */
@@ -78,18 +78,19 @@
         val backoffMs = PlacementConstants.PROBE_BACKOFF_MS shl minOf(probes, MAX_BACKOFF_DOUBLINGS)
         probes++
         notBeforeMs = nowMs + minOf(backoffMs, PlacementConstants.MAX_PROBE_BACKOFF_MS)
+        limitStarts()
     }
 
     /** The job has become suspect. */
     fun becomeSuspect(nowMs: Long) {
-        moveTo(JobHealth.SUSPECT)
         notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
+        moveTo(JobHealth.SUSPECT)
     }
 
     /** The job can succeed. */
     fun becomeHealthy(nowMs: Long) {
-        moveTo(JobHealth.HEALTHY)
         notBeforeMs = nowMs
+        moveTo(JobHealth.HEALTHY)
     }
 
     /** An earlier leader had found the job suspect and made [probes] probes. */
@@ -100,11 +101,14 @@
 
     /** The only place where the health changes. */
     private fun moveTo(next: JobHealth) {
-        check(next != JobHealth.UNKNOWN && health != next) { "$jobId: $health to $next" }
+        check(next != JobHealth.UNKNOWN && health != next) { "${job.id}: $health to $next" }
         health = next
         probes = 0
+        limitStarts()
     }
 
+    private fun limitStarts() = job.limitStarts(notBeforeMs, concurrencyCap)
+
     private companion object {
         /** Times that the interval between probes is doubled at the most. */
         const val MAX_BACKOFF_DOUBLINGS = 5
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -115,7 +115,7 @@
         if (room <= 0) return 0
         val open = cluster.jobs.values.filter { isOpen(it) }
         if (open.none { isDue(it, patienceMs, nowMs) }) return 0
-        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.progress.unwritten.sinceMs })
+        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwritten.sinceMs })
         val maxBytes = (cluster.limits.valueBytes * PlacementConstants.MAX_VALUE_FILL).toInt()
         val records = RoundPacker.take(order, maxBytes, most = minOf(room, MAX_ROUND_VALUES), maxJobs())
         for (record in records) {
@@ -123,18 +123,18 @@
             number++
             writes.add(Write.RecordRound("${cluster.firstTerm}-$number", record, jobs))
         }
-        for (job in order) job.progress.unwritten.endWaitIfEmpty()
+        for (job in order) job.unwritten.endWaitIfEmpty()
         return records.size
     }
 
-    private fun isOpen(job: Job): Boolean = !job.progress.unwritten.isEmpty && !job.cancelled && !job.finishing && !job.unreadable && !job.allDone
+    private fun isOpen(job: Job): Boolean = !job.unwritten.isEmpty && !job.cancelled && !job.finishing && !job.unreadable && !job.allDone
 
     private fun isDue(
         job: Job,
         patienceMs: Long,
         nowMs: Long,
     ): Boolean {
-        val sinceMs = job.progress.unwritten.sinceMs
+        val sinceMs = job.unwritten.sinceMs
         return job.planning || (sinceMs > 0 && nowMs - sinceMs >= patienceMs)
     }
 
@@ -155,7 +155,7 @@
             for (chunk in round.neededFor) {
                 val job = cluster.jobs[chunk.job] ?: continue
                 job.progress.rewriteChunk(chunk.number)
-                job.progress.unwritten.waitSince(nowMs)
+                job.unwritten.waitSince(nowMs)
             }
         }
     }
@@ -170,7 +170,7 @@
             for (part in write.record.parts) {
                 val job = cluster.jobs[part.job] ?: continue
                 RoundPacker.putBack(job, part)
-                job.progress.unwritten.waitSince(nowMs)
+                job.unwritten.waitSince(nowMs)
             }
         }
     }
--- a/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
@@ -18,7 +18,7 @@
         val takenJobs = HashSet<String>()
         for (job in jobs) {
             if (job.id !in takenJobs && takenJobs.size >= maxJobs) break
-            val unwritten = job.progress.unwritten
+            val unwritten = job.unwritten
             var index = unwritten.nextFrom(0)
             while (index >= 0) {
                 val sized = part(job, TaskChunks.of(index), maxBytes - RECORD_BYTES)
@@ -35,7 +35,7 @@
     fun putBack(
         job: Job,
         part: RoundPart,
-    ) = part.indices.forEach(job.progress.unwritten::add)
+    ) = part.indices.forEach(job.unwritten::add)
 
     /** The records taken so far, at most [most], each of at most [maxBytes]. */
     private class RecordBuilder(
@@ -92,7 +92,7 @@
         val done = ArrayList<Int>()
         val released = ArrayList<Int>()
         var bytes = job.id.length + PART_BYTES
-        var index = progress.unwritten.nextFrom(base)
+        var index = job.unwritten.nextFrom(base)
         while (index >= 0 && index < base + TaskChunks.TASKS && bytes + GROUP_BYTES < maxBytes) {
             val attempt = progress.attempt(index)
             if (progress.isDone(index)) {
@@ -105,7 +105,7 @@
                 groups.getOrPut(group) { ArrayList() }.add(index)
             }
             bytes += INDEX_BYTES
-            index = progress.unwritten.nextFrom(index + 1)
+            index = job.unwritten.nextFrom(index + 1)
         }
         val plans = groups.map { (group, indices) -> PlannedGroup(group.machine, group.incarnation, group.attempt, indices) }
         val full = done.size + plans.sumOf { it.indices.size } == progress.coveredCount(chunk)
--- a/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
@@ -10,6 +10,8 @@
 class TaskProgress(
     private val jobId: String,
     private val taskCount: Int,
+    /** Told of each task whose state changes. */
+    private val unwritten: UnwrittenTasks,
 ) {
     private val done = BitSet(taskCount)
     private val recordedDone = BitSet(taskCount)
@@ -24,8 +26,8 @@
     var doneCount = 0
         private set
 
-    /** Tasks whose state the store does not have. */
-    val unwritten = UnwrittenTasks()
+    /** Whether all tasks are done. */
+    val isComplete: Boolean get() = doneCount == taskCount
 
     /** Tasks that are neither done nor have an attempt. */
     val waitingCount: Int get() = taskCount - doneCount - attempts.size + doneWithAttempt
--- a/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
+++ b/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
@@ -10,14 +10,21 @@
     var sinceMs = 0L
         private set
 
-    /** Whether the store knows all tasks as they are. */
-    val isEmpty: Boolean get() = indices.isEmpty
+    /** Whether the store knows all tasks as they are. Kept up to date with each change, as every commit asks it of every job. */
+    var isEmpty = true
+        private set
 
     /** The state of task [index] is to be written. */
-    fun add(index: Int) = indices.set(index)
+    fun add(index: Int) {
+        indices.set(index)
+        isEmpty = false
+    }
 
     /** The state of task [index] has been taken into a record. */
-    fun remove(index: Int) = indices.clear(index)
+    fun remove(index: Int) {
+        indices.clear(index)
+        isEmpty = indices.isEmpty
+    }
 
     /** The first unwritten task from [index] on, or -1. */
     fun nextFrom(index: Int): Int = indices.nextSetBit(index)
@@ -35,6 +42,7 @@
     /** All that has changed so far is in the store. */
     fun clear() {
         indices.clear()
+        isEmpty = true
         sinceMs = 0
     }
 }
