--- a/src/main/kotlin/mintfield/app/ControllerMonitor.kt
+++ b/src/main/kotlin/mintfield/app/ControllerMonitor.kt
@@ -38,9 +38,9 @@
         if (current == relayPeer) return
         relayPeer = current
         if (current != null) {
-            Log.info("the controller after this one: zone unresponsive, workers report to $current")
+            Log.info("next controller: unreachable, workers are redirected to $current")
         } else {
-            Log.info("workers may send heartbeats here again")
+            Log.info("next controller: reachable again, workers may come here directly")
         }
     }
 
--- a/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
+++ b/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
@@ -21,7 +21,7 @@
     private fun sockets(machines: Int): String? {
         val kept = limits.machinesKept(otherConnections = 0)
         if (machines <= kept) return null
-        return "max_sockets ${settings.maxSockets} lets $kept workers keep their connections of $machines: the others connect anew for each report"
+        return "max_sockets ${settings.maxSockets} lets $kept workers keep their connections of $machines: the others connect anew for each heartbeat"
     }
 
     private fun memory(
