--- a/src/main/kotlin/mintfield/app/api/ClientRoutes.kt
+++ b/src/main/kotlin/mintfield/app/api/ClientRoutes.kt
@@ -24,7 +24,7 @@
 ) {
     /** Answers a request that came straight from its client. */
     suspend fun receive(request: HttpMessage): Response {
-        val path = request.second
+        val path = request.path
         return when {
             path == HEARTBEAT_PATH -> only("POST", request) { closingWhenShortOfSockets(heartbeats.receive(request.body)) }
             path == READY_PATH -> only("GET", request) { ready() }
@@ -35,7 +35,7 @@
 
     /** Answers a user's request here, whether it came straight from the user or by way of a peer. */
     suspend fun userRequest(request: HttpMessage): Response {
-        val path = request.second
+        val path = request.path
         return when {
             path == JOBS_PATH -> only("POST", request) { timed(metrics::accepted) { users.submit(request) } }
             path.startsWith(JOB_PATH) && path.endsWith(ABORT_SUFFIX) ->
@@ -67,7 +67,7 @@
         request: HttpMessage,
         action: () -> Response,
     ): Response {
-        if (request.first == method) return action()
+        if (request.method == method) return action()
         val plain = Response.error(HttpStatus.METHOD_NOT_ALLOWED, "only $method is served here")
         return Response(HttpStatus.METHOD_NOT_ALLOWED, plain.body, allow = method)
     }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -65,7 +65,7 @@
         if (health.isStoreServing) return null
         val peer = health.servedPeer() ?: return null
         val client = clients[peer] ?: return null
-        val relayed = RelayedRequest(request.first, request.second, request.body)
+        val relayed = RelayedRequest(request.method, request.path, request.body)
         val bytes = ProtoBuf.encodeToByteArray(RelayedRequest.serializer(), relayed)
         val answer = passOn(peer, client, PeerPaths.USER_REQUEST, bytes, PeerConstants.PEER_TIMEOUT_MS) ?: return null
         return Response(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -21,9 +21,9 @@
 ) {
     /** Answers one request of a peer. */
     suspend fun receive(request: HttpMessage): Response {
-        val path = request.second
+        val path = request.path
         if (path !in PATHS) return Response.error(HttpStatus.NOT_FOUND, "no such path")
-        if (request.first != "POST") return Response.error(HttpStatus.METHOD_NOT_ALLOWED, "only POST is served here")
+        if (request.method != "POST") return Response.error(HttpStatus.METHOD_NOT_ALLOWED, "only POST is served here")
         return when (path) {
             PeerPaths.FOREIGN_TASKS -> foreignTasks(request.body)
             PeerPaths.HEARTBEAT -> heartbeat(request.body)
