--- a/src/test/kotlin/mintfield/golden/RecordedCalls.kt
+++ b/src/test/kotlin/mintfield/golden/RecordedCalls.kt
@@ -5,7 +5,7 @@
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.RateLimiter
 import mintfield.io.loop.scope
-import mintfield.standin.await
+import mintfield.loopback.await
 import java.net.InetSocketAddress
 import java.net.ServerSocket
 import java.net.Socket
--- a/src/test/kotlin/mintfield/golden/WorkerProtocolGoldenTest.kt
+++ b/src/test/kotlin/mintfield/golden/WorkerProtocolGoldenTest.kt
@@ -13,7 +13,7 @@
 import mintfield.core.model.WorkerCommand
 import mintfield.io.worker.CommandCodec
 import mintfield.io.worker.HeartbeatCodec
-import mintfield.standin.await
+import mintfield.loopback.await
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import java.util.concurrent.atomic.AtomicBoolean
