--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -8,6 +8,7 @@
 import mintfield.app.ExternalServices
 import mintfield.app.replica.JobReplicator
 import mintfield.app.sharding.ShardLeader
+import mintfield.app.sharding.ShardLeadership
 import mintfield.core.HeartbeatResponse
 import mintfield.core.Scheduler
 import mintfield.core.constants.FleetConstants
@@ -34,13 +35,13 @@
     private val replicator: JobReplicator,
     private val tenure: LeaderTenure,
     private val cancellationWatermark: CancellationWatermark,
-    /** What it does for the shard that it leads; null if machines are not shared. */
-    val shardLeader: ShardLeader?,
+    /** The shard that it leads; null if machines are not shared. */
+    private val shardLeadership: ShardLeadership?,
     private val deposed: (String) -> Unit,
 ) : Leadership {
     private val settings = services.settings
     private val store = services.store
-    private val keys = LeaderKeys(shardLeader?.shard?.name)
+    private val keys = LeaderKeys(shardLeadership?.shard?.name)
 
     /** The decisions of this leader. */
     val scheduler =
@@ -48,7 +49,7 @@
             settings = settings,
             term = tenure.term,
             isRecordedAsCancelled = { replicator.live[it]?.cancelled == true },
-            ownership = shardLeader?.ownership ?: WholeFleet,
+            ownership = shardLeadership?.ownership ?: WholeFleet,
             dependencies = replicator.dependencies,
             stateLimits = services.stateLimits,
         ) { Log.info(it) }
@@ -67,13 +68,12 @@
     private val cloudCalls = CloudCallExecutor(loop, services.cloud, scheduler, this, ::wake)
     private val leaseRenewal = LeaseRenewal(loop, store, tenure, this)
 
-    init {
-        shardLeader?.attach(scheduler)
-    }
+    /** What it does for the shard that it leads; null if machines are not shared. */
+    val shardLeader: ShardLeader? = shardLeadership?.leader(scheduler)
 
     private fun isScheduledHere(spec: JobSpec): Boolean {
         val shard = settings.operator.sharding?.ofTeam(spec.team)
-        return shard?.name == shardLeader?.shard?.name
+        return shard?.name == shardLeadership?.shard?.name
     }
 
     override fun mayAct(): Boolean = tenure.clock.mayAct(loop.nowMs())
--- a/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
+++ b/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
@@ -1,6 +1,7 @@
 package mintfield.app.peer
 
 import mintfield.app.api.Progress
+import mintfield.core.leadership.CancellationLogPosition
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.ownership.ShardLoad
 
@@ -19,7 +20,7 @@
     fun loadOf(shard: String): ShardLoad?
 
     /** The incarnation of [peer]'s cancellation log that was last read here, and how many of its entries were read. */
-    fun cancellationsRead(peer: String): Pair<Long, Long>
+    fun cancellationsRead(peer: String): CancellationLogPosition
 
     /** [peer], asked at [askedAtMs], has responded with these cancellations, which it has confirmed to users. */
     fun cancellationsReceived(
--- a/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
@@ -22,7 +22,7 @@
     fun isStoreUnavailable(): Boolean = store.unservedForLong(nowMs())
 
     /** Whether nothing at all has come from the state service for a while, not even a refusal. */
-    fun isStoreUnreachable(): Boolean = store.cut(nowMs())
+    fun isStoreUnreachable(): Boolean = store.unreachableForLong(nowMs())
 
     /** Whether [peer] has been silent for longer than a restart takes. */
     fun isUnreachable(peer: String): Boolean = failureDetector.isUnreachable(peer, nowMs())
@@ -37,7 +37,7 @@
     fun reachablePeerExcept(leader: String): String? = failureDetector.reachablePeerExcept(leader, nowMs())
 
     /** A reachable peer that the state service serves; null if there is none. */
-    fun servedPeer(): String? = failureDetector.served(nowMs())
+    fun servedPeer(): String? = failureDetector.servedPeer(nowMs())
 
     /** A status of [peer] has arrived. */
     fun statusReceived(
--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
@@ -24,7 +24,7 @@
     /** Answers encoded questions of a peer's leader; null if the shard asked is not led here, or they cannot be read. */
     fun answer(body: ByteArray): ByteArray? {
         val (shard, queries) = ForeignTaskCodec.decodeQueries(body) ?: return null
-        return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::answers)
+        return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::encodeAnswers)
     }
 
     private fun localLeader(shard: String): ShardLeader? = elections().member(shard)?.leader?.shardLeader
--- a/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
@@ -24,7 +24,7 @@
     private suspend fun transferIfDue(member: LeaderElection) {
         val shard = member.shard ?: return
         if (member.leader == null) return
-        val reason = succession.reasonToTransfer(shard, loop.nowMs()) ?: return
-        member.transferLeadership(reason)
+        val transfer = succession.transferDue(shard, loop.nowMs()) ?: return
+        member.transferLeadership(transfer.reason)
     }
 }
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -99,7 +99,7 @@
         incarnation: Long,
     ): Attempt {
         val attempt = Attempt(job, index, number, machine, incarnation)
-        job.put(attempt)
+        job.progress.add(attempt)
         machine.occupy(attempt)
         quotas.usage(job.spec.team).add(job.spec)
         return attempt
@@ -115,10 +115,10 @@
         val job = attempt.job
         attempt.moveTo(AttemptState.RELEASED, nowMs)
         attempt.machine.vacate(attempt)
-        job.remove(attempt)
+        job.progress.remove(attempt)
         quotas.usage(job.spec.team).subtract(job.spec)
         // The record still names the old machine: unless it is written anew, a successor waits for proof from a machine long gone.
-        if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+        job.progress.unwritten.waitSince(nowMs)
         val isRoutine = proof == DONE || proof == DESCRIBED_ANEW || proof == NEVER_SENT
         if (!isRoutine) log("released ${job.spec.id}/${attempt.index} attempt ${attempt.number} from ${attempt.machine.id}: $proof")
     }
@@ -148,8 +148,8 @@
         index: Int,
         nowMs: Long,
     ) {
-        if (!job.setDone(index)) return
-        if (job.unwrittenSinceMs == 0L) job.unwrittenSinceMs = nowMs
+        if (!job.progress.setDone(index)) return
+        job.progress.unwritten.waitSince(nowMs)
     }
 
     /** The task that [attempt] is one of. */
--- a/src/main/kotlin/mintfield/core/HeartbeatService.kt
+++ b/src/main/kotlin/mintfield/core/HeartbeatService.kt
@@ -5,6 +5,7 @@
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 import mintfield.core.fleet.ZoneFencing
+import mintfield.core.jobs.CommandPlanner
 import mintfield.core.jobs.HeartbeatReconciler
 import mintfield.core.leadership.LeaseRenewalLimit
 import mintfield.core.model.Heartbeat
@@ -20,6 +21,7 @@
     private val fleet: FleetManager,
     private val zoneFencing: ZoneFencing,
     private val reconciler: HeartbeatReconciler,
+    private val commandPlanner: CommandPlanner,
     private val cancellations: KnownCancellations,
     private val replay: LeaderReplay,
 ) {
@@ -75,11 +77,11 @@
         mayRenew: Boolean,
         nowMs: Long,
     ): HeartbeatResponse {
-        val isNewest = reconciler.take(machine, heartbeat, viaHeartbeat = true, nowMs)
+        val isNewest = reconciler.reconcile(machine, heartbeat, viaHeartbeat = true, nowMs)
         if (!mayRenew || (!mayAct && reconciler.mayStartCancelled(machine, heartbeat))) return HeartbeatResponse.RenewalRefused
         machine.lease.renew(nowMs)
         if (!isNewest || !mayAct) return stopsOnly(heartbeat)
-        return HeartbeatResponse.Commands(token(heartbeat), reconciler.commands(machine, viaHeartbeat = true, nowMs))
+        return HeartbeatResponse.Commands(token(heartbeat), commandPlanner.commands(machine, viaHeartbeat = true, nowMs))
     }
 
     /**
