--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -127,6 +127,6 @@
     /** A refusal that asks the user to try again later. */
     fun busy(reason: String) = Response.error(HttpStatus.SERVICE_UNAVAILABLE, reason, UserApiConstants.RETRY_AFTER_S)
 
-    /** A refusal as the store, without which nothing can be told, does not respond. */
+    /** A refusal as the store, without which no state can be confirmed, does not respond. */
     fun storeUnavailable() = busy("the state service cannot be asked now")
 }
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -44,7 +44,7 @@
     private val cancellationWatermark: CancellationWatermark,
     /** What the election of a shard's leader needs besides; null if machines are not shared. */
     private val part: ShardElection? = null,
-    /** Tells the peers of a won election. */
+    /** Notifies the peers of a won election. */
     private val announce: () -> Unit,
 ) {
     /** The shard whose leader is elected; null if there is one leader of all machines. */
@@ -55,7 +55,7 @@
     private val memberName = services.settings.member
     private val random = Random(System.nanoTime() xor memberName.hashCode().toLong())
 
-    /** Tells this process from an earlier one of the same member. */
+    /** Distinguishes this process from an earlier one of the same controller. */
     private val nonce = java.lang.Long.toHexString(random.nextLong())
     private val leaderRole = LeaderRole { Log.info(if (shard == null) it else "${shard.name}: $it") }
 
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -28,7 +28,7 @@
     private val packer: CommitPacker,
     private val pacer: WritePacer,
     private val leadership: Leadership,
-    /** Told of the final states that were written. */
+    /** Called with the final states that were written. */
     private val ended: (String, FinalState) -> Unit,
 ) {
     private val store = services.store
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -19,7 +19,7 @@
     private val scope: CoroutineScope,
     private val services: ExternalServices,
     private val scheduler: Scheduler,
-    /** Told of each answer. */
+    /** Called with each answer. */
     private val answered: () -> Unit,
 ) {
     private var callsUnderWay = 0
--- a/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
@@ -9,7 +9,7 @@
     /** The revision of the leader key at the election; it rises when the key is rewritten. */
     val term: Long,
     val lease: Long,
-    /** Tells the winner's process from an earlier one of the same member. */
+    /** Distinguishes the winner's process from an earlier one of the same controller. */
     private val nonce: String,
     private val member: String,
     /** For how much longer the lease certainly holds. */
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -43,7 +43,7 @@
         val learnedState: List<LearnedState>,
     )
 
-    /** Replays everything; then the scheduler may plan, and [listener] is told of further changes of jobs. */
+    /** Replays everything; then the scheduler may plan, and [listener] is notified of further changes of jobs. */
     suspend fun run(listener: JobListener) {
         val startedAtMs = loop.nowMs()
         // No lease is renewed on a view of the jobs from before the election.
@@ -54,7 +54,7 @@
         renewFirst()
         readJobs()
         val records = readLeaderRecords()
-        // Jobs may have been accepted or cancelled at other nodes meanwhile; from here on the listener is told of them.
+        // Jobs may have been accepted or cancelled at other controllers meanwhile; from here on the listener is notified of them.
         readJobs()
         handOver(records, listener)
         Log.info(
--- a/src/main/kotlin/mintfield/app/leader/WritePacer.kt
+++ b/src/main/kotlin/mintfield/app/leader/WritePacer.kt
@@ -48,7 +48,7 @@
         rateLimiter.rate = permittedWritesPerS * StoreConstants.LEADER_WRITE_FRACTION_YIELDING
     }
 
-    /** The limits in force may have become lower, by what another component of this controller was told by the state service. */
+    /** The limits in force may have become lower, by what another component of this controller has learned from the state service. */
     private fun applyLimits() {
         if (limitsApplied == limits.current) return
         limitsApplied = limits.current
--- a/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
+++ b/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
@@ -5,7 +5,7 @@
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.ownership.ShardLoad
 
-/** What a controller tells its peers about itself in each status message, and where their responses go. */
+/** What a controller reports to its peers about itself in each status message, and where their responses go. */
 interface LocalStatus {
     /** The terms that this controller leads with, by shard. The name of the only leadership, where there are no shards, is empty. */
     fun leadingTerms(): Map<String, Long>
--- a/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -29,7 +29,7 @@
         while (oldest.hasNext() && nowMs - oldest.next().atMs > PeerConstants.PROGRESS_TIMEOUT_MS) oldest.remove()
     }
 
-    /** The latest progress of job [id]; null if the peer has not told of it recently. */
+    /** The latest progress of job [id]; null if the peer has not reported it recently. */
     operator fun get(id: String): Progress? = jobs[id]?.progress
 }
 
@@ -42,6 +42,6 @@
     /** Takes in the [status] of a leading peer. */
     fun received(status: PeerStatus) = byPeer.getOrPut(status.member) { PeerProgress() }.take(status.progress, status.jobs, nowMs())
 
-    /** The latest progress of job [id] at any peer; null if none has told of it recently. */
+    /** The latest progress of job [id] at any peer; null if none has reported it recently. */
     operator fun get(id: String): Progress? = byPeer.values.firstNotNullOfOrNull { it[id] }
 }
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -41,10 +41,10 @@
     /** Which unfinished jobs depend on which others. */
     val dependencies: DependencyGraph get() = replica.dependencies
 
-    /** Told of changes of jobs: one for each leader in this process. */
+    /** Notified of changes of jobs: one for each leader in this process. */
     val listeners = LinkedHashSet<JobListener>()
 
-    /** Told when the replica shows everything that had happened by a moment, in steady milliseconds. */
+    /** Notified when the replica shows everything that had happened by a moment, in steady milliseconds. */
     var onComplete: (Long) -> Unit = {}
 
     init {
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -45,7 +45,7 @@
         if (state != null) {
             replica.ended(id, state)
         } else if (id in replica.dependencies.unresolved) {
-            // Its record may have come while the final state was read; if not, nothing tells how it ended.
+            // Its record may have come while the final state was read; if not, nothing shows how it ended.
             Log.error("$id, on which other jobs depend, has neither a record nor a final state that can be read: they wait")
             replica.dependencies.unknown(id)
         }
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
@@ -18,7 +18,7 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-/** Writes to the store the changes of assignments that [agent] wants, one transaction at a time, and tells it what became of each. */
+/** Writes to the store the changes of assignments that [agent] wants, one transaction at a time, and reports the outcome of each. */
 internal class AssignmentWriter(
     shard: ShardSettings,
     private val loop: EventLoop,
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -17,7 +17,7 @@
 import mintfield.io.store.TxnOutcome
 
 /**
- * Publishes this controller's generation in the store and tells whether all controllers have the generation that something needs. The
+ * Publishes this controller's generation in the store and finds out whether all controllers have the generation that something needs. The
  * store is read only while a generation is asked for that some are not known to have. Runs on the event loop.
  */
 class VersionRecords(
--- a/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
+++ b/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
@@ -45,7 +45,7 @@
     private var nextLease = 1L
     private var changed = CompletableDeferred<Unit>()
 
-    /** Told of each change: the key, its new value or null, and the revision. Called on the loop. */
+    /** Notified of each change: the key, its new value or null, and the revision. Called on the loop. */
     @Volatile var onChange: (String, Any?, Long) -> Unit = { _, _, _ -> }
 
     /** Refuses everything, as in an outage. */
--- a/src/main/kotlin/mintfield/core/KnownCancellations.kt
+++ b/src/main/kotlin/mintfield/core/KnownCancellations.kt
@@ -6,13 +6,13 @@
  */
 internal class KnownCancellations(
     private val cluster: Cluster,
-    /** Whether the job record tells of a cancellation, also of a job that the replay has not reached yet. */
+    /** Whether the job record shows a cancellation, also of a job that the replay has not reached yet. */
     private val isRecorded: (String) -> Boolean,
 ) {
     /** Confirmed by peers before the replay. The store may become unreachable before the job records show them. */
     private val confirmedBeforeReplay = HashSet<String>()
 
-    /** Whether any source tells that [job] is cancelled, also if another shard schedules it. */
+    /** Whether any source shows that [job] is cancelled, also if another shard schedules it. */
     fun isKnown(job: String): Boolean = cluster.jobs[job]?.cancelled == true || job in confirmedBeforeReplay || isRecorded(job)
 
     /** A peer confirmed the cancellation of [job] to its user, before the replay of this leader has ended. */
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -22,14 +22,14 @@
  * The decisions of one leader, from its election to the end of its lease: the entry to the pure core. It wires the components that
  * decide, and passes each event to the one that it concerns.
  *
- * It does no input or output. It is told of events and the time, and asked what to write, to send and to call. What it returns may
+ * It does no input or output. It is given events and the time, and asked what to write, to send and to call. What it returns may
  * be carried out only while the leader holds its lease. All functions are called from one thread; `nowMs` is the time of a steady
  * clock in milliseconds, `wallMs` the time of day.
  */
 class Scheduler(
     settings: Settings,
     term: Long,
-    /** Whether the job record tells of a cancellation, also of a job that the replay has not reached yet. */
+    /** Whether the job record shows a cancellation, also of a job that the replay has not reached yet. */
     isRecordedAsCancelled: (String) -> Boolean = { false },
     ownership: Ownership = WholeFleet,
     dependencies: DependencyGraph = DependencyGraph { null },
@@ -87,7 +87,7 @@
     // ---- workers ----
 
     /**
-     * Takes in a worker's [heartbeat] and decides how to answer it. [mayAct] tells whether the leader still holds its lease;
+     * Takes in a worker's [heartbeat] and decides how to answer it. [mayAct] says whether the leader still holds its lease;
      * [relayed] that the heartbeat came by way of a peer, and [viaRelayPeer] that workers are sent to a peer at the moment. All
      * cancellations that users were told of before [cancellationsToMs] are known here.
      */
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -9,7 +9,7 @@
 
 /**
  * Times that follow from the heartbeat interval and the lease of the workers, which differ widely between sites: a constant that suits
- * one would take healthy machines for silent, or release hanging ones too early, at another. All are in milliseconds.
+ * one would take healthy machines for unresponsive, or release hanging ones too early, at another. All are in milliseconds.
  */
 class Timings(
     settings: Settings,
--- a/src/main/kotlin/mintfield/core/Write.kt
+++ b/src/main/kotlin/mintfield/core/Write.kt
@@ -9,7 +9,7 @@
     /** The jobs whose records must not have changed; that is a precondition of the write. */
     val guardedJobs: Collection<Job> get() = emptyList()
 
-    /** The outcome of a scheduling round, and what heartbeats told since the one before, for all [jobs] concerned. */
+    /** The outcome of a scheduling round, and what heartbeats have shown since the one before, for all [jobs] concerned. */
     data class RecordRound(
         val key: String,
         val record: RoundRecord,
--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -38,7 +38,7 @@
     /** Milliseconds after which a list must show what there is, at the latest. */
     fun lagMs(): Long = (cluster.settings.listLagS * TimeUnits.MS_PER_SECOND * FleetConstants.LIST_LAG_FACTOR).toLong() + FleetConstants.LIST_INTERVAL_MS
 
-    /** Takes in [page]; [hasNext] tells whether others follow it. */
+    /** Takes in [page]; [hasNext] says whether others follow it. */
     fun pageRead(
         page: List<ListedMachine>,
         hasNext: Boolean,
--- a/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
@@ -79,7 +79,7 @@
         if (call is CloudCall.Release) releases.failed(call.machines, nowMs)
     }
 
-    /** A page of the cloud's list was read; [hasNext] tells whether others follow it. */
+    /** A page of the cloud's list was read; [hasNext] says whether others follow it. */
     fun listed(
         page: List<ListedMachine>,
         hasNext: Boolean,
--- a/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
@@ -5,7 +5,7 @@
 
 /**
  * What the heartbeats of one machine have shown so far. Heartbeats are ordered by the worker's incarnation and then by their sequence
- * number within it, so that a late copy is told from a newer one. All times are steady milliseconds.
+ * number within it, so that a late copy is not taken for a newer one. All times are steady milliseconds.
  */
 class HeartbeatRecord {
     /** The worker's incarnation; 0 before its first heartbeat. */
--- a/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
@@ -2,7 +2,7 @@
 
 /** How a machine became known: by the cloud's list, from a former owner, or from a plan that names it. Times are steady milliseconds. */
 class MachineOrigin {
-    /** Known by name only, from a plan or the assignment table: type, zone and kind are guesses until a heartbeat or the list tells them. */
+    /** Known by name only, from a plan or the assignment table: type, zone and kind are guesses until a heartbeat or the list gives them. */
     var provisional = false
         private set
 
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -93,7 +93,7 @@
 
     /**
      * The assignment table says that the machine [id] is this leader's, and nothing has described it yet. It counts as one in use until
-     * the cloud's list or a heartbeat tells more; if neither comes, it is released, which proves that it is gone.
+     * the cloud's list or a heartbeat shows more; if neither comes, it is released, which proves that it is gone.
      */
     fun assume(
         id: String,
--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -69,7 +69,7 @@
                 foreign != null -> addForForeign(foreign, status)
                 attempt != null -> addForPlanned(attempt, status)
                 job != null || nowMs - machine.origin.adoptedAtMs >= ShardingConstants.FOREIGN_TASK_GRACE_MS -> addForUnplanned(job, status)
-                // On a machine that was handed over lately it may be a foreign task that this leader has not been told of yet.
+                // On a machine that was handed over lately it may be a foreign task that this leader does not know of yet.
             }
         }
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -9,7 +9,7 @@
  *
  * The first failures of a job count against both. Once a task of the job succeeds, they are attributed to the machines; once the job
  * has failed on several machines with no success anywhere, to the job, and the machines are cleared. So a broken job neither
- * gets sound machines released nor takes slots and image fetches for all of its tasks with each try.
+ * gets healthy machines released nor takes slots and image fetches for all of its tasks with each try.
  */
 class FailureAttribution(
     private val cluster: Cluster,
@@ -81,7 +81,7 @@
         record.becomeSuspect(nowMs)
         for ((machine, failures) in record.unattributedFailures) machine.failureRecord.attributeToJob(job.id, failures, nowMs)
         record.clearUnattributed()
-        // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is sound.
+        // What has not begun would take slots and fetches only to fail. What runs may yet show that the job is healthy.
         job.activeAttempts.filter { it.state < AttemptState.RUNNING }.forEach { cluster.stop(it, nowMs, "the job is suspect", quietly = true) }
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -25,14 +25,14 @@
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
-    /** Told of each success and failure. */
+    /** Notified of each success and failure. */
     val failureAttribution = FailureAttribution(cluster, log)
 
     /**
      * Takes in [heartbeat], received at [nowMs] (steady milliseconds). False if it is not newer than what is known of [machine]; then
      * nothing changes.
      *
-     * [viaHeartbeat] tells a worker's own heartbeat from the response to a direct command: only a heartbeat proves that the starts in
+     * [viaHeartbeat] distinguishes a worker's own heartbeat from the response to a direct command: only a heartbeat proves that the starts in
      * the response to the one before it were either carried out or dropped.
      */
     fun reconcile(
@@ -140,7 +140,7 @@
     }
 
     /**
-     * The leader of another shard, which owns the machine of [attempt], has told what a heartbeat shows of the attempt: [status], or
+     * The leader of another shard, which owns the machine of [attempt], has reported what a heartbeat shows of the attempt: [status], or
      * null if it is absent. That worker has seen the owner's token, so that no start of this leader can be carried out there any more.
      */
     fun statusFromOwner(
--- a/src/main/kotlin/mintfield/core/jobs/JobListener.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobListener.kt
@@ -3,7 +3,7 @@
 import mintfield.core.dependencies.DependencyListener
 import mintfield.core.model.AcceptedJob
 
-/** Is told of the changes of a [JobReplica], after the replica shows them. */
+/** Is notified of the changes of a [JobReplica], after the replica shows them. */
 interface JobListener : DependencyListener {
     /** The record of the unfinished [job] is new, or newer than before. */
     fun changed(job: AcceptedJob)
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -36,7 +36,7 @@
     /** The dependencies between these jobs. */
     val dependencies = DependencyGraph(::known)
 
-    /** Is told of each change, if set. */
+    /** Is notified of each change, if set. */
     var listener: JobListener? = null
         set(value) {
             field = value
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A machine of which only a plan tells: its type is a guess until its heartbeats or the cloud's list tell it. */
+    /** A machine known only from a plan: its type is a guess until its heartbeats or the cloud's list give it. */
     private fun unknownMachine(
         id: String,
         job: Job,
--- a/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
@@ -10,7 +10,7 @@
 class TaskProgress(
     private val jobId: String,
     private val taskCount: Int,
-    /** Told of each task whose state changes. */
+    /** Notified of each task whose state changes. */
     private val unwritten: UnwrittenTasks,
 ) {
     private val done = BitSet(taskCount)
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
@@ -7,7 +7,7 @@
  * The jobs of which this process has told users that they are cancelled, in the order of telling. Peers read it, so that a leader
  * that cannot read the store learns of cancellations in time. Entries are numbered from 0; the oldest are dropped.
  *
- * [incarnation] tells this process from an earlier one of the same controller, whose log is lost.
+ * [incarnation] distinguishes this process from an earlier one of the same controller, whose log is lost.
  */
 class CancellationLog(
     private val incarnation: Long,
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
@@ -56,7 +56,7 @@
     /**
      * Whether the machine may be released: no write of a plan for it is under way, no direct command to it lacks an answer, and it is
      * neither being released to the cloud nor fenced, since then it must not be answered. Plans that were never sent are cancelled on the
-     * way; a start that was sent stays planned until the new owner tells what became of it.
+     * way; a start that was sent stays planned until the new owner reports what became of it.
      */
     private fun readyToRelease(
         machineId: String,
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
@@ -4,7 +4,7 @@
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 
-/** The owner's side of foreign tasks: tells the leaders of other shards what became of their tasks on this shard's machines. */
+/** The owner's side of foreign tasks: reports to the leaders of other shards what became of their tasks on this shard's machines. */
 class ForeignTaskResponder(
     private val scheduler: Scheduler,
 ) {
--- a/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageLocality.kt
@@ -28,7 +28,7 @@
         val waitingCpuS: Double,
     )
 
-    /** What tells apart the machines that count for a job: room where it may not go is none for it. */
+    /** What distinguishes the machines that count for a job: room where it may not go is none for it. */
     private data class HolderKey(
         val image: String,
         val spot: Boolean,
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -41,7 +41,7 @@
 
     /**
      * The priority by which [job] is ordered. An array of idle priority whose class has an objective counts as normal: in a pipeline whose
-     * last job is not submitted yet, nothing else tells that somebody waits for it.
+     * last job is not submitted yet, nothing else shows that somebody waits for it.
      */
     private fun rank(job: Job): Priority {
         val hasObjective = job.spec.shape == Shape.ARRAY && claims.hasObjective(job.spec)
