--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -33,6 +33,7 @@
 import mintfield.core.constants.FleetConstants
 import mintfield.core.constants.LeadershipConstants
 import mintfield.core.constants.StoreConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.leadership.CancellationLog
 import mintfield.core.leadership.CancellationWatermark
 import mintfield.core.model.Settings
@@ -56,7 +57,7 @@
     private val scope = loop.scope()
     private val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
     private val services = ExternalServices(settings, loop, group)
-    private val checkGapMs = (MS_PER_S / (settings.stateRps * StoreConstants.FRESHNESS_CHECK_FRACTION)).toLong()
+    private val checkGapMs = (TimeUnits.MS_PER_SECOND / (settings.stateRps * StoreConstants.FRESHNESS_CHECK_FRACTION)).toLong()
     private val replicator =
         JobReplicator(services.store, scope, checkGapMs, loop::nowMs) { compatibleMachineTypes(it.spec, services.types.values) }
     private val cancellationWatermark = CancellationWatermark(settings.peers.map { it.member })
@@ -190,8 +191,4 @@
     }
 
     private fun address(text: String) = requireNotNull(parseAddress(text)) { "not an address: $text" }
-
-    private companion object {
-        const val MS_PER_S = 1000
-    }
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -18,6 +18,7 @@
 import mintfield.io.peer.RelayAnswer
 import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
+import mintfield.io.peer.decodeOrNull
 
 /**
  * Calls to the peers on behalf of others: passes on heartbeats and user requests that have to be answered there, and the leaders'
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -11,6 +11,7 @@
 import mintfield.io.peer.RelayAnswer
 import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
+import mintfield.io.peer.decodeOrNull
 
 /** Serves the port for the other controllers: their status messages, relayed heartbeats and user requests, and foreign task queries. */
 @OptIn(ExperimentalSerializationApi::class)
--- a/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
@@ -18,6 +18,7 @@
 import mintfield.io.peer.PeerStatus
 import mintfield.io.peer.PeerStatusResponse
 import mintfield.io.peer.ShardLeaderStatus
+import mintfield.io.peer.decodeOrNull
 
 /** Sends this controller's status to each peer, about once a second and when there is news. */
 @OptIn(ExperimentalSerializationApi::class)
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -2,6 +2,7 @@
 
 import mintfield.core.constants.LeadershipConstants
 import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.dependencies.InheritedUrgency
 import mintfield.core.fleet.FleetManager
 import mintfield.core.fleet.Machine
@@ -190,7 +191,7 @@
         ended(job.id, nowMs)
     }
 
-    private fun seconds(ms: Long) = "%.1f".format(ms / MS_PER_S)
+    private fun seconds(ms: Long) = "%.1f".format(ms / TimeUnits.MS_PER_SECOND.toDouble())
 
     /** A write without an answer may still be carried out: the term must rise, so that its precondition fails. */
     fun fenceLateWrites() {
@@ -209,8 +210,6 @@
     }
 
     private companion object {
-        const val MS_PER_S = 1000.0
-
         /** Writes that a final state takes: itself, and the deletion of the job's record. */
         const val FINISH_COST = 2
 
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -4,6 +4,7 @@
 import mintfield.core.constants.LeadershipConstants
 import mintfield.core.constants.PeerConstants
 import mintfield.core.constants.PlacementConstants
+import mintfield.core.constants.TimeUnits
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.model.Settings
 
@@ -14,10 +15,10 @@
 class Timings(
     settings: Settings,
 ) {
-    private val leaseMs = settings.leaseS * MS_PER_S
+    private val leaseMs = settings.leaseS * TimeUnits.MS_PER_SECOND
 
     /** The longest time between two heartbeats of a healthy worker. */
-    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * MS_PER_S * WorkerConstants.HEARTBEAT_SPREAD
+    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * TimeUnits.MS_PER_SECOND * WorkerConstants.HEARTBEAT_SPREAD
 
     /** Without a heartbeat for this long a machine gets no new tasks. It is longer than the interval of a healthy worker with a heartbeat lost. */
     val heartbeatTimeoutMs = maxOf(WorkerConstants.MIN_HEARTBEAT_TIMEOUT_MS, (longestHeartbeatGapMs + WorkerConstants.HEARTBEAT_TIMEOUT_SLACK_MS).toLong())
@@ -48,8 +49,4 @@
 
     /** Without an answered heartbeat for this long a worker's lease has certainly expired. */
     val leaseExpiryMs = (leaseMs * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() + WorkerConstants.WORKER_LEASE_MARGIN_MS
-
-    private companion object {
-        const val MS_PER_S = 1000.0
-    }
 }
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -1,6 +1,7 @@
 package mintfield.core.dependencies
 
 import mintfield.core.Cluster
+import mintfield.core.constants.TimeUnits
 import mintfield.core.constants.UserApiConstants
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.Job
@@ -92,7 +93,7 @@
         inherited: List<Urgency>,
     ): Urgency {
         val accepted = checkNotNull(node.job)
-        val own = accepted.spec.deadlineS?.let { accepted.acceptedAtMs + it * MS_PER_S }
+        val own = accepted.spec.deadlineS?.let { accepted.acceptedAtMs + it * TimeUnits.MS_PER_SECOND }
         val due = listOfNotNull(own, earliest(inherited)).minOrNull()
         val priority = minOf(accepted.spec.priority, inherited.minOfOrNull { it.priority } ?: Priority.IDLE)
         return Urgency(priority, due?.let { it - durationMs(node) })
@@ -104,7 +105,7 @@
         val runS = cluster.jobs[node.id]?.let { cluster.runTimes.expectedS(it) } ?: accepted.spec.estimateS
         val fetchGbPerS = accepted.compatibleTypes.mapNotNull { cluster.types[it]?.fetchGbPerS }.minOrNull() ?: 0.0
         val fetchS = if (fetchGbPerS > 0) accepted.spec.imageGb / fetchGbPerS else 0.0
-        return (runS * UserApiConstants.PIPELINE_RUN_FACTOR + fetchS) * MS_PER_S + UserApiConstants.PIPELINE_START_MS
+        return (runS * UserApiConstants.PIPELINE_RUN_FACTOR + fetchS) * TimeUnits.MS_PER_SECOND + UserApiConstants.PIPELINE_START_MS
     }
 
     /** The nodes of the graph in topological order (Kahn's algorithm), each after all of its successors. */
@@ -126,8 +127,4 @@
         }
         return order
     }
-
-    private companion object {
-        const val MS_PER_S = 1000.0
-    }
 }
--- a/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
+++ b/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.CancellableContinuation
 import kotlinx.coroutines.suspendCancellableCoroutine
+import mintfield.core.constants.TimeUnits
 import kotlin.coroutines.resume
 
 /**
@@ -78,7 +79,7 @@
         if (timer != null) return
         val head = urgent.firstOrNull() ?: others.firstOrNull() ?: return
         val need = minOf(head.cost, burst)
-        val waitMs = Math.ceil(maxOf(0.0, need - tokens) / rate * MS_PER_S).toLong().coerceAtLeast(1)
+        val waitMs = Math.ceil(maxOf(0.0, need - tokens) / rate * TimeUnits.MS_PER_SECOND).toLong().coerceAtLeast(1)
         timer =
             loop.after(waitMs) {
                 timer = null
@@ -104,6 +105,5 @@
 
     private companion object {
         const val NANOS_PER_S = 1e9
-        const val MS_PER_S = 1000.0
     }
 }
--- a/src/main/kotlin/mintfield/io/ownership/ForeignTaskCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/ForeignTaskCodec.kt
@@ -1,14 +1,13 @@
 package mintfield.io.ownership
 
 import kotlinx.serialization.ExperimentalSerializationApi
-import kotlinx.serialization.KSerializer
-import kotlinx.serialization.SerializationException
 import kotlinx.serialization.protobuf.ProtoBuf
 import mintfield.core.model.TaskId
 import mintfield.core.model.TaskStatus
 import mintfield.core.ownership.ForeignTaskAnswer
 import mintfield.core.ownership.ForeignTaskQuery
 import mintfield.core.ownership.ForeignTaskRef
+import mintfield.io.peer.decodeOrNull
 
 /** Maps queries about foreign tasks and their answers to the protobuf messages that controllers send to each other, and back. */
 @OptIn(ExperimentalSerializationApi::class)
@@ -24,14 +23,14 @@
 
     /** The shard asked and what it is asked; null if [bytes] are not such a message. */
     fun decodeQueries(bytes: ByteArray): ShardQueries? =
-        decode(ForeignTaskQueriesMessage.serializer(), bytes)?.let { ShardQueries(it.shard, it.queries.map(::fromMessage)) }
+        decodeOrNull(ForeignTaskQueriesMessage.serializer(), bytes)?.let { ShardQueries(it.shard, it.queries.map(::fromMessage)) }
 
     /** The message with [answers], in the order of the queries. */
     fun encodeAnswers(answers: List<ForeignTaskAnswer>): ByteArray =
         ProtoBuf.encodeToByteArray(ForeignTaskAnswersMessage.serializer(), ForeignTaskAnswersMessage(answers.map(::toMessage)))
 
     /** The answers in the order of the queries; null if [bytes] are not such a message. */
-    fun decodeAnswers(bytes: ByteArray): List<ForeignTaskAnswer>? = decode(ForeignTaskAnswersMessage.serializer(), bytes)?.answers?.map(::fromMessage)
+    fun decodeAnswers(bytes: ByteArray): List<ForeignTaskAnswer>? = decodeOrNull(ForeignTaskAnswersMessage.serializer(), bytes)?.answers?.map(::fromMessage)
 
     private fun toMessage(query: ForeignTaskQuery) = QueryMessage(query.machine, query.tasks.map(::toMessage))
 
@@ -58,16 +57,4 @@
     private fun toMessage(status: TaskStatus) = TaskStatusMessage(status.task.job, status.task.index, status.attempt, status.state, status.cause)
 
     private fun fromMessage(message: TaskStatusMessage) = TaskStatus(TaskId(message.job, message.index), message.attempt, message.state, message.cause)
-
-    private fun <T> decode(
-        serializer: KSerializer<T>,
-        bytes: ByteArray,
-    ): T? =
-        try {
-            ProtoBuf.decodeFromByteArray(serializer, bytes)
-        } catch (_: SerializationException) {
-            null
-        } catch (_: IllegalArgumentException) {
-            null
-        }
 }
