--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -47,7 +47,7 @@
         } else if (id in replica.dependencies.unresolved) {
             // Its record may have come while the final state was read; if not, nothing shows how it ended.
             Log.error("$id, on which other jobs depend, has neither a record nor a final state that can be read: they wait")
-            replica.dependencies.unknown(id)
+            replica.dependencies.recordMissing(id)
         }
         return true
     }
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -18,7 +18,7 @@
     private val leaseMs = settings.leaseS * TimeUnits.MS_PER_SECOND
 
     /** The longest time between two heartbeats of a healthy worker. */
-    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * TimeUnits.MS_PER_SECOND * WorkerConstants.HEARTBEAT_SPREAD
+    private val longestHeartbeatGapMs = settings.heartbeatIntervalS * TimeUnits.MS_PER_SECOND * WorkerConstants.MAX_HEARTBEAT_INTERVAL_FACTOR
 
     /** Without a heartbeat for this long a machine gets no new tasks. It is longer than the interval of a healthy worker with a heartbeat lost. */
     val heartbeatTimeoutMs = maxOf(WorkerConstants.MIN_HEARTBEAT_TIMEOUT_MS, (longestHeartbeatGapMs + WorkerConstants.HEARTBEAT_TIMEOUT_SLACK_MS).toLong())
@@ -27,7 +27,7 @@
     val relayAfterMs = maxOf(PeerConstants.MIN_DIRECT_ROUTE_FRESH_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
     /** After a failover tasks wait this long for machines that hold their image: by then a healthy worker has sent a heartbeat. */
-    val settleMs = maxOf(PlacementConstants.MIN_SETTLE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
+    val settleMs = maxOf(PlacementConstants.MIN_FAILOVER_GRACE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
     /**
      * A machine of a replayed plan that has sent no heartbeat is released after this time: its lease has expired, and it has had the
--- a/src/main/kotlin/mintfield/core/constants/LeadershipConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/LeadershipConstants.kt
@@ -1,46 +1,46 @@
 package mintfield.core.constants
 
-/** Election, lease and term of the leader. */
+/** Parameters of leader election, the leader's lease and the term. */
 object LeadershipConstants {
-    /** Milliseconds that the leader key lives without renewal. A successor must be elected well within a worker's lease. */
+    /** Time to live of the leader key without renewal. A successor must be elected well within a worker's lease. */
     const val LEADER_LEASE_MS = 3_500L
 
-    /** Milliseconds between renewals of the leader's lease: three may fail before it expires. */
+    /** Interval between renewals of the leader's lease. Three renewals may fail before the lease expires. */
     const val LEASE_RENEWAL_INTERVAL_MS = 800L
 
-    /** Milliseconds taken off a lease by its holder, for steps of timers. */
+    /** Time by which the holder of a lease shortens it to allow for the granularity of timers. */
     const val LEASE_MARGIN_MS = 150L
 
-    /** Bound on the relative drift between two steady clocks: twice the protocol's 0.05 %. */
+    /** Maximum relative drift between two monotonic clocks: twice the protocol's 0.05 %. */
     const val MAX_CLOCK_DRIFT = 0.001
 
-    /** Milliseconds within which candidates spread their first try. */
+    /** Time window over which candidates spread their first election attempt. */
     const val ELECTION_JITTER_MS = 250L
 
-    /** Milliseconds that a watch of the leader key stays open. */
+    /** Time for which a watch of the leader key stays open. */
     const val LEADER_WATCH_MS = 20_000L
 
-    /** Attempt numbers of a term start at the term times this; no term has as many rounds. */
+    /** Size of the range of attempt numbers of a term, which starts at the term multiplied by it. No term has as many rounds. */
     const val ATTEMPTS_PER_TERM = 65_536L
 
-    /** Milliseconds between two raises of the term, at the least. Each costs a write and a heartbeat of every worker. */
+    /** Minimum time between two raises of the term. Each costs a write and a heartbeat from every worker. */
     const val MIN_TERM_RAISE_INTERVAL_MS = 2_000L
 
-    /** Milliseconds after the start for which the clients' port stays closed while no leader is known: longer than an election takes. */
+    /** Time after startup for which the client port stays closed while no leader is known. It is longer than an election takes. */
     const val LISTEN_DELAY_WITHOUT_LEADER_MS = 1_500L
 
-    /** Milliseconds between checks whether a leader is known. */
+    /** Interval between checks whether a leader is known. */
     const val LEADER_KNOWN_CHECK_MS = 20L
 
-    /** Milliseconds after its start from which on a controller runs compiled code, so that a replay need not wait for renewals. */
+    /** Time after startup from which a controller runs compiled code, so that a replay need not wait for lease renewals. */
     const val WARMED_UP_MS = 30_000L
 
-    /** Milliseconds without a worker's first heartbeat after which a leader that has just started replays. */
+    /** Time without a first heartbeat from any worker after which a leader that has just started begins its replay. */
     const val FIRST_HEARTBEATS_QUIET_MS = 300L
 
-    /** Milliseconds that such a leader delays its replay, at the most. */
+    /** Maximum time by which a leader that has just started delays its replay. */
     const val MAX_REPLAY_DELAY_MS = 2_500L
 
-    /** Milliseconds between checks whether the replay may begin. */
+    /** Interval between checks whether the replay may begin. */
     const val REPLAY_DELAY_CHECK_MS = 50L
 }
--- a/src/main/kotlin/mintfield/core/constants/PlacementConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/PlacementConstants.kt
@@ -1,133 +1,133 @@
 package mintfield.core.constants
 
-/** Rounds of placement, order of jobs and attribution of failures. */
+/** Parameters of scheduling rounds, the order of jobs and the attribution of failures. */
 object PlacementConstants {
-    /** Milliseconds between scheduling rounds for replicas of services. */
+    /** Interval between scheduling rounds for replicas of services. */
     const val REPLICA_ROUND_INTERVAL_MS = 40L
 
-    /** Milliseconds between scheduling rounds for all jobs. Each costs a write. */
+    /** Interval between scheduling rounds for all jobs. Each round costs a write. */
     const val ROUND_INTERVAL_MS = 250L
 
-    /** The same while writes are scarce. */
+    /** Interval between scheduling rounds for all jobs while writes are scarce. */
     const val ROUND_INTERVAL_SCARCE_WRITES_MS = 500L
 
-    /** Tasks that one round may place, at the least. */
+    /** Minimum limit on the tasks that one round may place. */
     const val MIN_ROUND_TASKS = 400
 
-    /** Tasks that one round may place, for each CPU of the machines that are up. */
+    /** Limit on the tasks that one round may place, per CPU of the machines that are up. */
     const val ROUND_TASKS_PER_CPU = 0.01
 
-    /** Milliseconds that a completed task may wait to be recorded with a round. Its worker keeps the result until then. */
+    /** Maximum time for which a completed task waits to be recorded with a round. Its worker keeps the result until then. */
     const val DONE_BATCH_DELAY_MS = 1_500L
 
-    /** The same while writes are scarce. */
+    /** Maximum time for which a completed task waits to be recorded with a round while writes are scarce. */
     const val DONE_BATCH_DELAY_SCARCE_WRITES_MS = 4_000L
 
-    /** Milliseconds after which what a round record still covers is written again with a later one, so that a successor reads few. */
+    /** Age of a round record after which the plans that it still covers are rewritten in a later record, so that a successor reads few records. */
     const val ROUND_REWRITE_MS = 45_000L
 
-    /** Preconditions that the store permits for each write of a transaction. */
+    /** Number of preconditions that the store permits per write of a transaction. */
     const val PRECONDITIONS_PER_WRITE = 4
 
-    /** Fraction of the permitted value size that a round record may take. */
+    /** Maximum fraction of the permitted value size that a round record may take. */
     const val MAX_VALUE_FILL = 0.9
 
     /** Fraction of a transaction's writes that must be free for writes not to count as scarce. */
     const val PLENTIFUL_WRITES_FRACTION = 0.6
 
-    /** Milliseconds after which a job without a started task gets a few ahead of all others. */
+    /** Waiting time after which a job without a started task gets a few tasks placed ahead of all other jobs. */
     const val STARVATION_MS = 90_000L
 
-    /** Fraction of its tasks, but at least one, that it then gets. */
+    /** Fraction of its tasks, but at least one task, that a job gets once it has waited for [STARVATION_MS]. */
     const val STARVATION_TASK_FRACTION = 0.02
 
-    /** Milliseconds after which a job has a part in the CPUs reserved for those that wait longest. */
+    /** Waiting time after which a job has a part in the CPUs reserved for the jobs that have waited longest. */
     const val LONG_STARVATION_MS = 240_000L
 
-    /** Fraction of the CPUs reserved for such jobs together. */
+    /** Fraction of the CPUs reserved for all jobs that have waited for [LONG_STARVATION_MS]. */
     const val LONG_STARVATION_CPU_FRACTION = 0.05
 
-    /** Target fraction of an objective from which on few jobs may miss it. */
+    /** Target fraction from which an objective is strict: few jobs may miss it. */
     const val STRICT_OBJECTIVE_FRACTION = 0.98
 
-    /** Milliseconds before the last moment at which a job can start and meet its next strict objective, from which on it is boosted. */
+    /** Time before its last possible start for meeting its next strict objective at which a job is expedited. */
     const val CRITICAL_SLACK_MS = 15_000L
 
-    /** Fraction of the CPUs that such a job is taken to get. */
+    /** Fraction of the CPUs that an expedited job is assumed to get. */
     const val CRITICAL_CPU_FRACTION = 0.5
 
-    /** Fraction of the CPUs that tasks of boosted jobs may hold. */
-    const val MAX_BOOSTED_CPU_FRACTION = 0.35
+    /** Maximum fraction of the CPUs that tasks of expedited jobs may hold. */
+    const val MAX_EXPEDITED_CPU_FRACTION = 0.35
 
-    /** Times the expected run time that the last task of such a job is taken to need. */
+    /** Run time that is assumed for the last task of an expedited job, as a multiple of its expected run time. */
     const val CRITICAL_RUN_FACTOR = 1.5
 
-    /** Replicas, each as large as the largest, for which arrays leave room. */
+    /** Number of replicas, each as large as the largest, for which arrays leave capacity free. */
     const val RESERVE_REPLICAS = 32
 
-    /** The same as a fraction of the CPUs that replicas hold, if that is more. */
+    /** Capacity that arrays leave free for replicas, as a fraction of the CPUs that replicas hold. [RESERVE_REPLICAS] applies if it gives more. */
     const val RESERVE_CPU_FRACTION = 0.05
 
-    /** Milliseconds between runs of the scheduler's timers: heartbeat timeouts, leases, scaling. */
+    /** Interval between runs of the scheduler's timers: heartbeat timeouts, leases, scaling. */
     const val TICK_INTERVAL_MS = 250L
 
-    /** Milliseconds before a job is tried again after a failure. */
+    /** Delay before a job is retried after a failure. */
     const val FAILURE_BACKOFF_MS = 500L
 
-    /** Consecutive failures that quarantine a machine, and attributed failures that release it. */
+    /** Number of consecutive failures that quarantine a machine, and of attributed failures that release it. */
     const val QUARANTINE_FAILURES = 3
 
-    /** Jobs of unknown health that a machine must have failed in a row to be released on that alone. */
+    /** Number of jobs of unknown health that must fail in a row on a machine for it to be released without further evidence. */
     const val RELEASE_SUSPECT_JOBS = 4
 
-    /** Healthy machines on which a job must fail, with no success anywhere, to become suspect itself. */
+    /** Number of healthy machines on which a job must fail, without a success on any machine, to become suspect itself. */
     const val SUSPECT_JOB_MACHINES = 3
 
-    /** Failures of a job without any success after which its concurrency is limited. */
+    /** Number of failures of a job without any success after which its concurrency is limited. */
     const val CAUTIOUS_AFTER_FAILURES = 3
 
-    /** Tasks that such a job may have at once. */
+    /** Maximum number of concurrent tasks of a job whose concurrency is limited. */
     const val CAUTIOUS_TASKS = 4
 
-    /** Tasks that a suspect job may have at once. */
+    /** Maximum number of concurrent tasks of a suspect job. */
     const val PROBE_TASKS = 2
 
-    /** Milliseconds between probes of a suspect job, doubled with each. */
+    /** Delay between probes of a suspect job, doubled with each probe. */
     const val PROBE_BACKOFF_MS = 2_000L
 
-    /** Milliseconds between probes of a suspect job, at the most. */
+    /** Maximum delay between probes of a suspect job. */
     const val MAX_PROBE_BACKOFF_MS = 30_000L
 
-    /** Milliseconds that a task must run, at the least, to show that a job which has only failed is healthy. */
+    /** Minimum run time of a task that shows a job with nothing but failures to be healthy. */
     const val HEALTHY_RUN_MS = 5_000L
 
-    /** Milliseconds that a machine which failed several jobs is quarantined. */
+    /** Duration of the quarantine of a machine on which several jobs failed. */
     const val QUARANTINE_MS = 20_000L
 
-    /** The same if it failed one job only, which may be the cause itself. */
+    /** Duration of the quarantine of a machine on which only one job failed, as the job itself may be the cause. */
     const val SHORT_QUARANTINE_MS = 5_000L
 
-    /** Waiting CPUs, as a fraction of all, from which on room is too scarce to hold it while an image is fetched. */
-    const val CROWDED_CPU_FRACTION = 0.4
+    /** CPUs needed by waiting tasks, as a fraction of all CPUs, above which capacity is too scarce to be held during an image fetch. */
+    const val SATURATED_CPU_FRACTION = 0.4
 
-    /** Milliseconds after a failover for which a task waits for machines that hold its image, at the least. */
-    const val MIN_SETTLE_MS = 3_000L
+    /** Minimum time after a failover for which a task waits for machines that hold its image. */
+    const val MIN_FAILOVER_GRACE_MS = 3_000L
 
-    /** Fraction of a machine's CPUs that replicas fill while there are others. */
+    /** Fraction of a machine's CPUs that replicas fill while other machines have capacity. */
     const val SPREAD_CPU_FRACTION = 0.25
 
-    /** CPUs of machines with a job's image, per CPU that its waiting tasks need, from which on it waits for those machines. */
+    /** CPUs of the machines that hold a job's image, per CPU that its waiting tasks need, from which the job waits for those machines. */
     const val IMAGE_CAPACITY_FACTOR = 1.0
 
-    /** Seconds of fetching that are accepted whatever the wait elsewhere. */
+    /** Fetch time that is accepted in addition to the expected wait for capacity. */
     const val FETCH_SLACK_S = 1.0
 
-    /** Milliseconds without a placement after which an array fetches its image wherever there is room. */
+    /** Time without a placement after which an array fetches its image on any machine that has capacity. */
     const val IMAGE_WAIT_LIMIT_MS = 30_000L
 
-    /** Weight of a job's first measured task in its class's ratio of run time to estimate. */
+    /** Weight of a job's first measured task in the ratio of run time to estimate of its class. */
     const val RUN_TIME_RATIO_WEIGHT = 0.3
 
-    /** Measured tasks after which a job's own mean run time is used. */
+    /** Number of measured tasks from which a job's own mean run time is used. */
     const val MIN_RUN_TIME_SAMPLES = 3
 }
--- a/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
@@ -1,61 +1,61 @@
 package mintfield.core.constants
 
-/** Heartbeats, direct commands and reachability of workers. */
+/** Parameters of heartbeats, direct commands and the reachability of workers. */
 object WorkerConstants {
-    /** Times the heartbeat interval after which a heartbeat comes at the latest: the protocol's interval varies by a quarter. */
-    const val HEARTBEAT_SPREAD = 1.25
+    /** Longest regular time between two heartbeats as a multiple of the heartbeat interval. The protocol varies the interval by a quarter. */
+    const val MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25
 
-    /** Milliseconds without a heartbeat after which a machine gets no new tasks, at the least. */
+    /** Minimum time without a heartbeat after which a machine gets no new tasks. */
     const val MIN_HEARTBEAT_TIMEOUT_MS = 4_000L
 
-    /** Milliseconds beyond the longest regular interval for the same: a lost packet is resent after a second or two. */
+    /** Time added to the longest regular heartbeat interval in the heartbeat timeout. A lost packet is resent after a second or two. */
     const val HEARTBEAT_TIMEOUT_SLACK_MS = 2_500L
 
-    /** Milliseconds to wait for the response to a direct command. */
+    /** Timeout for the response to a direct command. */
     const val DIRECT_COMMAND_TIMEOUT_MS = 1_500L
 
-    /** Milliseconds without direct commands to a worker that left one unanswered. */
+    /** Time without direct commands to a worker that left one unanswered. */
     const val DIRECT_COMMAND_BACKOFF_MS = 5_000L
 
-    /** Consecutive unanswered direct commands from which on the network is taken to be the cause. */
+    /** Number of consecutive unanswered direct commands from which the network is assumed to be the cause. */
     const val DIRECT_PATH_LOST_AFTER = 6
 
-    /** Milliseconds between direct commands after that. */
+    /** Interval between direct commands while the network is assumed to be the cause of unanswered ones. */
     const val DIRECT_PATH_PROBE_MS = 2_000L
 
-    /** Direct commands in flight at once, at the least. */
+    /** Minimum limit on the direct commands in flight. */
     const val MIN_DIRECT_COMMANDS = 32
 
-    /** Fraction of the sockets for direct commands in flight. */
+    /** Fraction of the sockets that direct commands in flight may use. */
     const val DIRECT_COMMAND_SOCKET_FRACTION = 0.02
 
-    /** Fraction of the sockets for pooled connections to workers. */
+    /** Fraction of the sockets that pooled connections to workers may use. */
     const val WORKER_POOL_SOCKET_FRACTION = 0.12
 
-    /** Milliseconds after which a worker's lease counts as certainly expired, beyond the lease itself. */
+    /** Time added to a worker's lease after which the lease has certainly expired. */
     const val WORKER_LEASE_MARGIN_MS = 500L
 
-    /** Consecutive responses that a machine must have missed to count as unreachable. */
+    /** Number of consecutive responses that a machine must have missed to count as unreachable. */
     const val UNREACHABLE_AFTER_MISSES = 2
 
-    /** Milliseconds between probes of an unreachable machine. */
+    /** Interval between probes of an unreachable machine. */
     const val UNREACHABLE_PROBE_MS = 4_000L
 
-    /** Milliseconds without new tasks after a machine is reachable again, doubled with each time that it was not. */
+    /** Time without new tasks after a machine has become reachable again. It doubles each time that the machine was unreachable. */
     const val REACHABLE_BACKOFF_MS = 2_000L
 
-    /** Times that this backoff is doubled at the most. */
+    /** Maximum number of times that [REACHABLE_BACKOFF_MS] is doubled. */
     const val MAX_REACHABLE_BACKOFF_DOUBLINGS = 5
 
-    /** Milliseconds after which an unreachable machine is released. */
+    /** Time after which an unreachable machine is released. */
     const val UNREACHABLE_RELEASE_MS = 45_000L
 
-    /** Unreachable machines up to which the machines, and not the network, are taken to be the cause. */
-    const val MAX_BLAMED_UNREACHABLE = 2
+    /** Maximum number of unreachable machines for which the machines, and not the network, are assumed to be the cause. */
+    const val MAX_ATTRIBUTED_UNREACHABLE = 2
 
-    /** The same as a fraction of all machines, if that is more. */
-    const val MAX_BLAMED_UNREACHABLE_FRACTION = 0.05
+    /** [MAX_ATTRIBUTED_UNREACHABLE] as a fraction of all machines. The larger of the two limits applies. */
+    const val MAX_ATTRIBUTED_UNREACHABLE_FRACTION = 0.05
 
-    /** Fraction of `cancel_s` after which a machine on which a cancelled task does not stop is released, as the last proof. */
+    /** Fraction of `cancel_s` after which a machine on which a cancelled task does not stop is released, which proves that the task has ended. */
     const val CANCEL_RELEASE_FRACTION = 0.5
 }
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
@@ -6,42 +6,42 @@
 import mintfield.core.model.JobPhase
 
 /**
- * The graph of the unfinished jobs that depend on others. It holds the jobs with predecessors and their direct predecessors; a job that
- * depends on nothing and that nothing depends on takes no space.
+ * Graph of the dependencies of unfinished jobs. It contains the jobs with predecessors and their direct predecessors, but no job without
+ * dependencies in either direction.
  *
- * Whether a job may start follows from the recorded final states of its predecessors alone. These never change, so every leader that
- * computes it gets the same result, and it need not be recorded. The graph is not thread-safe.
+ * Whether a job may start depends only on the recorded final states of its predecessors. Final states never change, so every leader
+ * computes the same result, and readiness need not be recorded. The graph is not thread-safe.
  */
 class DependencyGraph(
-    /** What is known of a job when it is first named as a predecessor; null if nothing is. */
-    private val known: (String) -> KnownJob?,
+    /** Looks up a job by its id when the job is first named as a predecessor; returns null if nothing is known of it. */
+    private val lookUpJob: (String) -> KnownJob?,
 ) {
     private val nodes = LinkedHashMap<String, DependencyNode>()
     private val unresolvedIds = LinkedHashSet<String>()
 
-    /** Is notified of changes; null for nobody. */
+    /** The listener that is notified of changes; null for none. */
     var listener: DependencyListener? = null
 
-    /** Increases with each change of the graph. */
+    /** Number of changes of the graph, which shows whether results computed from it are outdated. */
     var version = 0L
         private set
 
-    /** The predecessors of which it is not known whether they are unfinished, done or cancelled. */
+    /** Ids of the predecessors of which it is unknown whether they are unfinished, done or cancelled. */
     val unresolved: Set<String> get() = unresolvedIds
 
-    /** All jobs in the graph. */
+    /** All jobs in the graph, in no particular order. */
     val all: Collection<DependencyNode> get() = nodes.values
 
     /** Whether all predecessors of [id] are known to be done. */
     fun isReady(id: String): Boolean = nodes[id]?.let { it.pendingPredecessors == 0 && !it.cancelledByDependency } ?: true
 
-    /** Whether a predecessor of [id], direct or through others, is known to be cancelled. */
+    /** Whether a direct or transitive predecessor of [id] is known to be cancelled. */
     fun isCancelledByDependency(id: String): Boolean = nodes[id]?.cancelledByDependency ?: false
 
-    /** When the last predecessor of [id] was done, time of day in milliseconds; 0 if that is not known or it has none. */
+    /** Time of day in milliseconds at which the last predecessor of [id] was done; 0 if it is unknown or the job has no predecessors. */
     fun readySinceMs(id: String): Long = nodes[id]?.predecessors?.maxOfOrNull { it.endedAtMs } ?: 0L
 
-    /** The direct predecessors of [id] that are not done. */
+    /** Ids of the direct predecessors of [id] that are not done. */
     fun pendingPredecessorsOf(id: String): List<String> =
         nodes[id]
             ?.predecessors
@@ -49,7 +49,7 @@
             .filter { it.state != PredecessorState.DONE }
             .map { it.id }
 
-    /** The unresolved ones among the predecessors of [id], direct and through others, nearest first. */
+    /** Ids of the unresolved predecessors of [id], direct and transitive, the nearest first. */
     fun unresolvedBefore(id: String): List<String> {
         if (unresolvedIds.isEmpty()) return emptyList()
         val start = nodes[id] ?: return emptyList()
@@ -65,7 +65,7 @@
         return found
     }
 
-    /** The record of the unfinished [job] is new or has changed. */
+    /** Handles a new or changed record of the unfinished [job]. */
     fun written(job: AcceptedJob) {
         val id = job.spec.id
         if (job.spec.predecessors.isEmpty() && id !in nodes) return
@@ -91,11 +91,11 @@
         if (node.predecessors.any { it.state == PredecessorState.CANCELLED || it.cancelledByDependency }) cascadeCancellation(node)
     }
 
-    /** Adds a node with the state that is known of it. It has no successors yet, so none has to be notified. */
+    /** Adds a node with its known state. The node has no successors yet, so that none has to be notified. */
     private fun addPredecessor(id: String): DependencyNode {
         val node = DependencyNode(id)
         nodes[id] = node
-        when (val found = known(id)) {
+        when (val found = lookUpJob(id)) {
             is KnownJob.Ended -> {
                 node.state = stateOf(found.state)
                 node.endedAtMs = found.state.endedAtMs
@@ -112,7 +112,7 @@
 
     private fun stateOf(final: FinalState): PredecessorState = if (final.phase == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED
 
-    /** The record of job [id] was deleted: the job has ended, whether or not its final state is known here. */
+    /** Handles the deletion of the record of job [id]: the job has ended, whether or not its final state is known here. */
     fun removed(id: String) {
         val node = nodes[id] ?: return
         version++
@@ -127,7 +127,7 @@
         dropIfUnused(node)
     }
 
-    /** Job [id] has ended in the state [final]. */
+    /** Handles the end of job [id] in the state [final]. */
     fun ended(
         id: String,
         final: FinalState,
@@ -139,13 +139,13 @@
         moveTo(node, stateOf(final))
     }
 
-    /** Job [id] has neither a record nor a final state although it was accepted: its successors wait until there is one. */
-    fun unknown(id: String) {
+    /** Handles the lack of both a record and a final state of job [id], which was accepted: its successors wait until either is found. */
+    fun recordMissing(id: String) {
         val node = nodes[id] ?: return
         if (node.state == PredecessorState.UNRESOLVED) moveTo(node, PredecessorState.UNFINISHED)
     }
 
-    /** The only change of the state of a node that may have successors. Final states stay. */
+    /** Changes the state of a node that may have successors, and updates the successors. Has no effect on a node in a final state. */
     private fun moveTo(
         node: DependencyNode,
         next: PredecessorState,
@@ -165,7 +165,7 @@
         if (node.pendingPredecessors == 0 && !node.cancelledByDependency) listener?.becameReady(node.id)
     }
 
-    /** Marks [first] and all its successors, by a queue, as a chain may be too long for recursion. */
+    /** Marks [first] and all its direct and transitive successors as cancelled. Uses a queue, as a chain may be too long for recursion. */
     private fun cascadeCancellation(first: DependencyNode) {
         val queue = ArrayDeque(listOf(first))
         while (queue.isNotEmpty()) {
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyListener.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyListener.kt
@@ -1,10 +1,10 @@
 package mintfield.core.dependencies
 
-/** Is notified of changes of a [DependencyGraph], within the call that makes them. */
+/** Listener for changes of a [DependencyGraph]. It is called synchronously, within the call that changes the graph. */
 interface DependencyListener {
-    /** All predecessors of job [id] are done. */
+    /** Called when all predecessors of job [id] are done. */
     fun becameReady(id: String)
 
-    /** A predecessor of job [id], direct or through others, is cancelled. */
+    /** Called when a direct or transitive predecessor of job [id] is cancelled. */
     fun dependencyCancelled(id: String)
 }
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyNode.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyNode.kt
@@ -2,36 +2,36 @@
 
 import mintfield.core.model.AcceptedJob
 
-/** A job in a [DependencyGraph], which alone changes it. */
+/** A job in a [DependencyGraph]. Only the graph modifies it. */
 class DependencyNode internal constructor(
     val id: String,
 ) {
-    /** Its record; null if it has ended or the record is not known here. */
+    /** The record of the job; null if the job has ended or its record is unknown here. */
     var job: AcceptedJob? = null
         internal set
 
-    /** What is known of it as a predecessor of others. */
+    /** The state of the job as a predecessor of others. */
     var state = PredecessorState.UNRESOLVED
         internal set
 
-    /** Whether it can never start, since a predecessor, direct or through others, is cancelled. */
+    /** Whether the job can never start because a direct or transitive predecessor is cancelled. */
     var cancelledByDependency = false
         internal set
 
-    /** When it ended, time of day in milliseconds; 0 if that is not known. */
+    /** Time of day in milliseconds at which the job ended; 0 if it is unknown. */
     internal var endedAtMs = 0L
 
-    /** The jobs that it depends on directly. */
+    /** The jobs on which the job depends directly. */
     internal val predecessors = ArrayList<DependencyNode>()
 
-    /** How many of [predecessors] are not done. */
+    /** Number of [predecessors] that are not done. */
     internal var pendingPredecessors = 0
 
     internal val mutableSuccessors = LinkedHashSet<DependencyNode>()
 
-    /** The unfinished jobs that depend on it directly. */
+    /** The unfinished jobs that depend directly on the job. */
     val successors: Set<DependencyNode> get() = mutableSuccessors
 
-    /** Whether it is to be run, so that the jobs that it depends on are needed. */
-    val wanted: Boolean get() = job != null && !cancelledByDependency && state == PredecessorState.UNFINISHED
+    /** Whether the job is still expected to run to its end, so that its predecessors are needed. */
+    val isActive: Boolean get() = job != null && !cancelledByDependency && state == PredecessorState.UNFINISHED
 }
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -8,39 +8,40 @@
 import mintfield.core.model.Priority
 
 /**
- * Priority and deadline inheritance along dependencies. Users give both to the last job of a pipeline only; by their own, the jobs that
- * it depends on would be served last and end after its deadline.
+ * Inheritance of priority and deadline along dependencies. Users set both only on the last job of a pipeline. With their own priority
+ * and deadline, its predecessors would be placed last and end after the deadline of the last job.
  *
- * A job has the highest priority among itself and its unfinished successors, direct and through others. It is due when the earliest of
- * them is, less the time that the jobs in between are expected to take to start, fetch their images and run.
+ * A job has the highest priority of itself and its unfinished direct and transitive successors. Its due time is the earliest of the due
+ * times that follow from these successors: the deadline of a successor, less the time that it and the jobs in between are expected to
+ * take to start, fetch their images and run.
  */
 class InheritedUrgency(
     private val cluster: Cluster,
     private val dependencies: DependencyGraph,
 ) {
-    private var seenVersion = -1L
+    private var refreshedVersion = -1L
     private var refreshedAtMs = Machine.NEVER
-    private var inheriting: List<Job> = emptyList()
+    private var inheritingJobs: List<Job> = emptyList()
 
-    /** What a job demands of the jobs that it depends on. */
+    /** The priority and due time that a job passes on to its predecessors. */
     private class Urgency(
         val priority: Priority,
-        /** When they must be done at the latest, time of day in milliseconds; null without a deadline. */
+        /** Latest time of day in milliseconds at which the predecessors must be done; null without a deadline. */
         val dueBeforeMs: Double?,
     )
 
     /**
-     * Updates the priority, deadline and criticality of all jobs with successors, if the graph has changed or the learned run times may
-     * have. [nowMs] is the steady clock, [wallMs] the time of day, in milliseconds.
+     * Updates the priority, deadline and criticality of all jobs with successors if the graph or the learned run times may have changed.
+     * [nowMs] is the monotonic time and [wallMs] the time of day, both in milliseconds.
      */
     fun refresh(
         nowMs: Long,
         wallMs: Long,
     ) {
-        if (seenVersion == dependencies.version && nowMs - refreshedAtMs < UserApiConstants.INHERITANCE_REFRESH_MS) return
-        seenVersion = dependencies.version
+        if (refreshedVersion == dependencies.version && nowMs - refreshedAtMs < UserApiConstants.INHERITANCE_REFRESH_MS) return
+        refreshedVersion = dependencies.version
         refreshedAtMs = nowMs
-        inheriting.forEach(::reset)
+        inheritingJobs.forEach(::reset)
         val urgencies = HashMap<DependencyNode, Urgency>()
         val jobs = ArrayList<Job>()
         for (node in successorsFirst()) {
@@ -51,9 +52,9 @@
                 job.deadlineCritical = isDeadlineCritical(job, node, wallMs)
                 jobs.add(job)
             }
-            if (node.wanted) urgencies[node] = demandOf(node, inherited)
+            if (node.isActive) urgencies[node] = urgencyOf(node, inherited)
         }
-        inheriting = jobs
+        inheritingJobs = jobs
     }
 
     private fun reset(job: Job) {
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Whether the job is expected to end close to when it is due, before or after. Long after that it is not critical any more, as
-     * preempting others gains nothing then.
+     * Whether the expected end of [job] is close to its due time, before or after. A job that is expected to end long after its due time
+     * is not critical any more, as preempting others would not make it meet the due time.
      */
     private fun isDeadlineCritical(
         job: Job,
@@ -88,7 +89,7 @@
 
     private fun earliest(urgencies: List<Urgency>): Double? = urgencies.mapNotNull { it.dueBeforeMs }.minOrNull()
 
-    private fun demandOf(
+    private fun urgencyOf(
         node: DependencyNode,
         inherited: List<Urgency>,
     ): Urgency {
@@ -99,7 +100,7 @@
         return Urgency(priority, due?.let { it - durationMs(node) })
     }
 
-    /** Milliseconds that the job of [node] is expected to take from its readiness to its end. */
+    /** Expected time in milliseconds from the readiness of the job of [node] to its end. */
     private fun durationMs(node: DependencyNode): Double {
         val accepted = checkNotNull(node.job)
         val runS = cluster.jobs[node.id]?.let { cluster.runTimes.expectedS(it) } ?: accepted.spec.estimateS
--- a/src/main/kotlin/mintfield/core/dependencies/PredecessorState.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/PredecessorState.kt
@@ -1,20 +1,20 @@
 package mintfield.core.dependencies
 
-/** What is known of a job that others depend on. [DONE] and [CANCELLED] are final. */
+/** State of a job on which other jobs depend, as far as it is known. [DONE] and [CANCELLED] are final. */
 enum class PredecessorState {
-    /** Neither its record nor its final state is known here yet. */
+    /** Neither the record nor the final state of the job is known here yet. */
     UNRESOLVED,
 
-    /** It has not ended. */
+    /** The job has not ended. */
     UNFINISHED,
 
-    /** It is done. */
+    /** The job has ended successfully. */
     DONE,
 
-    /** It is cancelled. */
+    /** The job is cancelled, whether or not it has ended. */
     CANCELLED,
     ;
 
-    /** Whether the job can never be in another state. */
+    /** Whether the job can never change to another state. */
     val isFinal: Boolean get() = this == DONE || this == CANCELLED
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -60,8 +60,8 @@
     /** Whether unreachable machines may be released: if many are unreachable at once, the network is at fault and not the machines. */
     private fun releasesUnreachable(): Boolean {
         val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
-        val fractionOfFleet = (cluster.machines.size * WorkerConstants.MAX_BLAMED_UNREACHABLE_FRACTION).toInt()
-        return unreachable <= maxOf(WorkerConstants.MAX_BLAMED_UNREACHABLE, fractionOfFleet)
+        val fractionOfFleet = (cluster.machines.size * WorkerConstants.MAX_ATTRIBUTED_UNREACHABLE_FRACTION).toInt()
+        return unreachable <= maxOf(WorkerConstants.MAX_ATTRIBUTED_UNREACHABLE, fractionOfFleet)
     }
 
     /** Releases a machine that sends heartbeats but cannot be reached, if that lasts or if it has tasks that must stop. */
--- a/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
@@ -7,20 +7,20 @@
 import mintfield.core.model.JobSpec
 import mintfield.core.model.Objective
 
-/** What a waiting job must meet, and the work that it still needs. */
+/** The due times of a waiting job and the work that remains until it is done. */
 internal class DeadlineClaim(
     val job: Job,
-    /** Times of day in milliseconds by which it should be done, ascending; without those that it cannot meet any more. */
+    /** Times of day in milliseconds by which the job should be done, ascending, without those that it cannot meet any more. */
     val dueTimesMs: List<Double>,
-    /** The first of them that few jobs may miss; null if there is none. */
+    /** The earliest due time of a strict objective, which few jobs may miss; null if there is none. */
     val strictDueMs: Double?,
-    /** CPU seconds that its unfinished tasks are expected to take. */
+    /** CPU seconds that the job's unfinished tasks are expected to take. */
     val workCpuS: Double,
-    /** Seconds that it takes at least, however many CPUs it gets: the expected run time of one task. */
-    val leastS: Double,
+    /** Minimum duration of the job in seconds, however many CPUs it gets: the expected run time of one task. */
+    val minDurationS: Double,
 )
 
-/** Works out the [DeadlineClaim] of a job from the objectives of its class, its own deadline and those of the jobs that depend on it. */
+/** Computes the [DeadlineClaim] of a job from the objectives of its class, its own deadline and the deadlines of the jobs that depend on it. */
 internal class DeadlineClaims(
     private val cluster: Cluster,
 ) {
@@ -39,7 +39,7 @@
     ): DeadlineClaim {
         val expectedS = cluster.runTimes.expectedS(job)
         val earliestEndMs = wallMs + expectedS * TimeUnits.MS_PER_SECOND
-        val dueTimesMs = ArrayList<Double>(DUE_TIMES_EXPECTED)
+        val dueTimesMs = ArrayList<Double>(EXPECTED_DUE_TIMES)
         val strictDueMs = addObjectives(job, expectedS, earliestEndMs, dueTimesMs)
         ownDueS(job.spec, expectedS)?.let { addIfMeetable(job.readySinceMs + it * TimeUnits.MS_PER_SECOND, earliestEndMs, dueTimesMs) }
         job.inheritedDueMs?.let { addIfMeetable(it, earliestEndMs, dueTimesMs) }
@@ -56,7 +56,7 @@
         if (dueMs >= earliestEndMs) dueTimesMs.add(dueMs)
     }
 
-    /** Adds the due times of the class's objectives that can be met, and returns the first strict one of them. */
+    /** Adds the due times of the class's objectives that can still be met. Returns the earliest strict one of them, or null if there is none. */
     private fun addObjectives(
         job: Job,
         expectedS: Double,
@@ -76,7 +76,10 @@
 
     private fun isStrict(objective: Objective) = (objective.targetFraction ?: 0.0) >= PlacementConstants.STRICT_OBJECTIVE_FRACTION
 
-    /** Seconds within which a job of [spec] must be done to meet [objective]; null if that sets no time. Its last task starts a run before. */
+    /**
+     * Seconds within which a job of [spec] must be done to meet [objective]; null if the objective sets no time. An objective on the wait
+     * bounds the start of the last task, which ends [expectedS] later.
+     */
     private fun dueS(
         objective: Objective,
         spec: JobSpec,
@@ -89,7 +92,10 @@
             else -> null
         }
 
-    /** Seconds within which a job of [spec] should be done apart from objectives: its own deadline, unless an objective counts it already. */
+    /**
+     * Seconds within which a job of [spec] should be done irrespective of objectives: its own deadline, unless an objective already takes
+     * it into account; null if there is none.
+     */
     private fun ownDueS(
         spec: JobSpec,
         expectedS: Double,
@@ -104,14 +110,14 @@
         const val DEADLINE = "deadline"
         const val WAIT = "wait"
 
-        /** Kinds of objectives that set a time for each job. */
+        /** Kinds of objectives that set a due time for each job. */
         val KINDS = setOf(FINISHED, DEADLINE, WAIT)
 
-        /** Seconds; jobs without an objective or deadline are ordered as if they had this one. */
+        /** Deadline in seconds that is assumed for jobs with neither an objective nor a deadline. */
         const val DEFAULT_DUE_S = 120.0
 
-        /** Part of its work that a planned or running task is taken to have done. */
+        /** Fraction of its work that a planned or running task is assumed to have done. */
         const val ACTIVE_DONE_FRACTION = 0.5
-        const val DUE_TIMES_EXPECTED = 4
+        const val EXPECTED_DUE_TIMES = 4
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
@@ -8,13 +8,15 @@
 /**
  * Orders jobs of the same rank so that as many as possible meet their due times.
  *
- * Where not all can, the largest are postponed until the rest can (see [selectOnTime]): first for the due times that come next, then, of
- * those postponed, for their later ones. What can be in time is served in the order of work times time left. With the earliest due time
- * first, every job would end just in time, and one wrong estimate make all after it late; with the least work first, large jobs would
- * miss due times that they could have met. What can meet no due time comes last, the least work first.
+ * If not all jobs can meet them, the largest are postponed until the remaining ones can (see [selectOnTime]). The selection is made for
+ * the next due time of each job first, and then for the later due times of the postponed jobs.
  *
- * While demand stays high, large jobs would be postponed until they have missed even the strict objectives, which few jobs may miss. So
- * a job that must start now to meet its next strict objective is boosted: it goes before all others.
+ * Jobs that can be on time are ordered by the product of their work and the time left. If the earliest due time went first, every job
+ * would end just in time, and one wrong estimate would make all later jobs late. If the least work went first, large jobs would miss due
+ * times that they could have met. Jobs that can meet no due time come last, the least work first.
+ *
+ * While demand stays high, large jobs would be postponed until they have missed even their strict objectives, which few jobs may miss.
+ * Therefore a job that must start now to meet its next strict objective is expedited: it is placed ahead of all others.
  */
 internal class DeadlineOrder(
     private val cluster: Cluster,
@@ -28,11 +30,11 @@
         if (jobs.size < 2) return jobs
         val capacity = maxOf(1.0, arrayCapacity(cluster))
         val (critical, rest) = jobs.map { claims.of(it, wallMs) }.partition { isDeadlineCritical(it, capacity, wallMs) }
-        val boost = boost(critical, capacity, wallMs)
+        val expeditedSelection = expedite(critical, capacity, wallMs)
         val order = ArrayList<Job>(jobs.size)
-        boost.onTime.mapTo(order) { it.job }
-        var remaining = rest + boost.postponed
-        var loadCpuS = boost.onTime.sumOf { it.workCpuS }
+        expeditedSelection.onTime.mapTo(order) { it.job }
+        var remaining = rest + expeditedSelection.postponed
+        var loadCpuS = expeditedSelection.onTime.sumOf { it.workCpuS }
         var level = 0
         while (level < MAX_LEVELS && remaining.any { it.dueTimesMs.size > level }) {
             val at = level
@@ -56,21 +58,21 @@
     ): Boolean {
         val dueMs = claim.strictDueMs ?: return false
         val cpus = capacity * PlacementConstants.CRITICAL_CPU_FRACTION
-        val neededMs = (claim.leastS * PlacementConstants.CRITICAL_RUN_FACTOR + claim.workCpuS / cpus) * TimeUnits.MS_PER_SECOND
+        val neededMs = (claim.minDurationS * PlacementConstants.CRITICAL_RUN_FACTOR + claim.workCpuS / cpus) * TimeUnits.MS_PER_SECOND
         return wallMs + neededMs + PlacementConstants.CRITICAL_SLACK_MS > dueMs
     }
 
     /**
-     * Selects those of [critical] that are boosted: as many as can still be in time, the earliest due time first, as long as the tasks of
-     * all boosted jobs hold no more than their fraction of the CPUs.
+     * Selects the jobs of [critical] to expedite: as many as can still be on time, the earliest due time first, as long as the tasks of all
+     * expedited jobs hold at most [PlacementConstants.MAX_EXPEDITED_CPU_FRACTION] of the CPUs. Returns the other jobs as postponed.
      */
-    private fun boost(
+    private fun expedite(
         critical: List<DeadlineClaim>,
         capacity: Double,
         wallMs: Long,
     ): OnTimeSelection {
         if (critical.isEmpty()) return OnTimeSelection(critical, critical)
-        val boostedCapacity = capacity * PlacementConstants.MAX_BOOSTED_CPU_FRACTION
+        val boostedCapacity = capacity * PlacementConstants.MAX_EXPEDITED_CPU_FRACTION
         val selection = selectOnTime(critical, 0.0, boostedCapacity, wallMs) { it.strictDueMs!! }
         var freeCpus = boostedCapacity
         for (job in cluster.jobs.values) if (job.boosted) freeCpus -= job.activeAttempts.size * job.spec.cpus
@@ -88,7 +90,7 @@
     private companion object {
         val LEAST_WORK = compareBy<DeadlineClaim> { it.workCpuS }.thenBy { it.job.spec.id }
 
-        /** Due times of a job, in order, that are considered. */
+        /** Maximum number of due times of a job that are considered, the earliest first. */
         const val MAX_LEVELS = 5
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
+++ b/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
@@ -5,12 +5,13 @@
 import mintfield.core.model.Shape
 
 /**
- * Kinds of tasks for which a round has searched all machines in vain. As a round only takes room, what one task did not find no later one
- * of the same kind will; so thousands of waiting jobs are not each tried on thousands of machines.
+ * The searches of a scheduling round that found no machine. Free capacity only decreases during a round, so a search that has failed for
+ * one task fails for every later task with the same requirements. Skipping such searches avoids trying each of thousands of waiting jobs
+ * on thousands of machines.
  */
 class ExhaustedSearches {
-    /** What the choice of a machine depends on, for a job whose tasks may be placed each by itself. */
-    private data class Kind(
+    /** The properties that determine the choice of a machine, for a job whose tasks can be placed independently of each other. */
+    private data class Requirements(
         val image: String,
         val imageGb: Double,
         val cpus: Double,
@@ -22,44 +23,47 @@
         val zone: String?,
     )
 
-    /** How far a search went that found nothing. */
-    private class Extent(
-        val worstImage: Int,
-        val patienceS: Double,
+    /** The highest image rank and the longest fetch that a failed search accepted. */
+    private class SearchLimits(
+        val maxImageRank: Int,
+        val maxFetchS: Double,
     )
 
-    private val searches = HashMap<Kind, MutableList<Extent>>()
+    private val searches = HashMap<Requirements, MutableList<SearchLimits>>()
 
-    /** Whether a search for a task of [job] as far as images of rank [worstImage] and fetches of [patienceS] seconds is known to be vain. */
+    /** Whether a search for a task of [job] that accepts image ranks up to [maxImageRank] and fetches of up to [maxFetchS] seconds is known to fail. */
     fun covers(
         job: Job,
-        worstImage: Int,
-        patienceS: Double,
+        maxImageRank: Int,
+        maxFetchS: Double,
     ): Boolean {
         if (searches.isEmpty()) return false
-        val kind = kindOf(job) ?: return false
-        return searches[kind]?.any { it.worstImage >= worstImage && it.patienceS >= patienceS } ?: false
+        val requirements = requirementsOf(job) ?: return false
+        return searches[requirements]?.any { it.maxImageRank >= maxImageRank && it.maxFetchS >= maxFetchS } ?: false
     }
 
-    /** A search for a task of [job] as far as images of rank [worstImage] and fetches of [patienceS] seconds has found nothing. */
+    /** Records that a search for a task of [job] found no machine with an image rank up to [maxImageRank] and a fetch of up to [maxFetchS] seconds. */
     fun add(
         job: Job,
-        worstImage: Int,
-        patienceS: Double,
+        maxImageRank: Int,
+        maxFetchS: Double,
     ) {
-        val kind = kindOf(job) ?: return
-        searches.getOrPut(kind) { ArrayList(EXTENTS_EXPECTED) }.add(Extent(worstImage, patienceS))
+        val requirements = requirementsOf(job) ?: return
+        searches.getOrPut(requirements) { ArrayList(EXPECTED_SEARCHES) }.add(SearchLimits(maxImageRank, maxFetchS))
     }
 
-    /** Null if the choice depends on more: on where other tasks of the job are or have failed, or on what it may preempt. */
-    private fun kindOf(job: Job): Kind? {
+    /**
+     * The requirements of the tasks of [job]; null if the choice of a machine also depends on where other tasks of the job are or have
+     * failed, or on the attempts that the job may preempt.
+     */
+    private fun requirementsOf(job: Job): Requirements? {
         val spec = job.spec
         if (spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return null
         if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) return null
-        return Kind(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
+        return Requirements(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
     }
 
     private companion object {
-        const val EXTENTS_EXPECTED = 2
+        const val EXPECTED_SEARCHES = 2
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/FailoverSettling.kt
+++ b/src/main/kotlin/mintfield/core/placement/FailoverGracePeriod.kt
@@ -6,15 +6,15 @@
 import mintfield.core.jobs.Job
 
 /**
- * Decides which jobs wait for their image in the first seconds after a failover, when most machines have not sent the new leader a
- * heartbeat yet. A task that is placed on the first machine that has would often wait half a minute for its image, though a machine that
- * has the image is heard of within a second or two.
+ * The first seconds after a failover, in which most machines have not yet sent a heartbeat to the new leader. Jobs whose image is on one
+ * of these machines wait for it: placed on the first machine to send a heartbeat, a task would often wait half a minute for its image,
+ * although a machine that has the image sends its heartbeat within a second or two.
  */
-internal class FailoverSettling(
+internal class FailoverGracePeriod(
     private val cluster: Cluster,
     nowMs: Long,
 ) {
-    /** An image, and whether it may be used on spot machines. */
+    /** An image and whether it may be used on spot machines. */
     private data class ImageUse(
         val image: String,
         val spot: Boolean,
@@ -23,7 +23,7 @@
     private val underWay = nowMs - cluster.replayedAtMs < cluster.timings.settleMs
     private val expectedByUse = HashMap<ImageUse, Boolean>()
 
-    /** Whether tasks of [job] are to be placed only where their image is. */
+    /** Whether tasks of [job] must be placed on machines that have their image. */
     fun appliesTo(job: Job): Boolean {
         if (!underWay) return false
         val spec = job.spec
@@ -32,7 +32,10 @@
         }
     }
 
-    /** Whether [machine] has sent no heartbeat since the failover, or only what may be a late copy: it will most likely take tasks soon. */
+    /**
+     * Whether [machine] will probably accept tasks soon: it has sent no heartbeat since the failover, or only heartbeats of an earlier term,
+     * which may be delayed copies.
+     */
     private fun isExpected(machine: Machine) =
         machine.state == MachineState.PROVISIONING || (machine.state == MachineState.UP && machine.termSeen < machine.lease.requiredTerm)
 }
--- a/src/main/kotlin/mintfield/core/placement/ImageRank.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageRank.kt
@@ -2,15 +2,15 @@
 
 import mintfield.core.fleet.Machine
 
-/** How near an image is to a machine; the smaller the better. Plain numbers, as one is worked out for each machine and job of a round. */
+/** Availability of an image on a machine; lower is better. Ranks are plain integers, as a round computes one for each machine and job. */
 internal object ImageRank {
     /** The image is on the machine. */
     const val PRESENT = 0
 
-    /** Another task there waits for it. */
+    /** Another task on the machine waits for the image, which is being fetched. */
     const val FETCHING = 1
 
-    /** It is neither. */
+    /** The image is not on the machine, and no task there waits for it. */
     const val ABSENT = 2
 
     /** The rank of [image] on [machine]. */
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -7,13 +7,14 @@
 import mintfield.core.model.Shape
 
 /**
- * The order in which waiting jobs are served: by priority; within it services first, then arrays and gangs within their team's guaranteed
- * quota, then the others. Of jobs that are equal in this, as many as possible meet their due times, by [DeadlineOrder].
+ * The order in which waiting jobs are placed. Jobs are ordered by priority. Within a priority, services come first, then arrays and gangs
+ * within their team's guaranteed quota, then the other arrays and gangs. [DeadlineOrder] orders the arrays and gangs of each group so that
+ * as many as possible meet their due times.
  */
 class JobOrder(
     private val cluster: Cluster,
 ) {
-    /** Resources of a team's guaranteed quota that its jobs have used up. */
+    /** Resources of a team's guaranteed quota that its jobs use. */
     private class QuotaUse {
         var cpus = 0.0
         var gpus = 0.0
@@ -40,15 +41,15 @@
     }
 
     /**
-     * The priority by which [job] is ordered. An array of idle priority whose class has an objective counts as normal: in a pipeline whose
-     * last job is not submitted yet, nothing else shows that somebody waits for it.
+     * The priority by which [job] is ordered. An array of idle priority whose class has an objective is ordered as one of normal priority:
+     * it may belong to a pipeline whose last job has not been submitted yet, and then no inherited priority shows that users wait for it.
      */
     private fun rank(job: Job): Priority {
         val hasObjective = job.spec.shape == Shape.ARRAY && claims.hasObjective(job.spec)
         return if (job.priority == Priority.IDLE && hasObjective) Priority.NORMAL else job.priority
     }
 
-    /** Ids of the jobs that, together with their team's earlier unfinished ones, fit into the team's guaranteed quota. */
+    /** Ids of the jobs that, together with their team's unfinished jobs that became ready earlier, fit into the team's guaranteed quota. */
     fun guaranteed(): Set<String> {
         val guaranteed = HashSet<String>()
         val useByTeam = HashMap<String, QuotaUse>()
@@ -69,7 +70,7 @@
             .sortedBy { it.readySinceMs }
 
     private companion object {
-        /** Tolerance for sums of fractions. */
+        /** Tolerance for rounding errors in sums of fractions. */
         const val EPSILON = 1e-6
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/MachineRanking.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachineRanking.kt
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue
 
 /**
- * The machines for one job, the best first. They are sorted only as far as they are iterated, since a job takes a few of thousands; a
- * second iteration starts at the best again.
+ * The machines for one job, the best first. They are sorted lazily during iteration, since a job uses a few machines out of thousands.
+ * Each iterator starts at the best machine. Not thread-safe.
  */
 internal class MachineRanking(
     spec: JobSpec,
--- a/src/main/kotlin/mintfield/core/placement/OnTimeSelection.kt
+++ b/src/main/kotlin/mintfield/core/placement/OnTimeSelection.kt
@@ -3,18 +3,18 @@
 import mintfield.core.constants.TimeUnits
 import java.util.PriorityQueue
 
-/** A split of jobs into those that can all be done in time and those that are postponed for them. */
+/** A partition of jobs into those that can all be done on time and those that are postponed to make that possible. */
 internal class OnTimeSelection(
     val onTime: Collection<DeadlineClaim>,
     val postponed: List<DeadlineClaim>,
 )
 
 /**
- * Selects as many of [claims] as can be done by their [dueMs], after other work of [loadCpuS], on [capacity] CPUs that are taken for one
- * machine. Jobs are added by due time; whenever one would be late, the largest so far is postponed, or the added job itself if it could
- * not be in time even alone.
+ * Selects as many of [claims] as can be done by their [dueMs] after other work of [loadCpuS]. The [capacity] CPUs are modelled as a single
+ * machine. Jobs are added in the order of their due times. Whenever the added job would be late, the largest job so far is postponed, or
+ * the added job itself if it would be late even alone.
  *
- * This is Hodgson's algorithm for the least number of late jobs on one machine, from J. M. Moore, "An n job, one machine sequencing
+ * This is Hodgson's algorithm for the minimum number of late jobs on one machine, from J. M. Moore, "An n job, one machine sequencing
  * algorithm for minimizing the number of late jobs", Management Science 15(1), 1968. It runs in O(n log n).
  */
 internal inline fun selectOnTime(
@@ -30,9 +30,9 @@
     for (claim in claims.sortedWith(compareBy({ dueMs(it) }, { it.job.spec.id }))) {
         onTime.add(claim)
         totalCpuS += claim.workCpuS
-        val endMs = wallMs + maxOf(totalCpuS / capacity, claim.leastS) * TimeUnits.MS_PER_SECOND
+        val endMs = wallMs + maxOf(totalCpuS / capacity, claim.minDurationS) * TimeUnits.MS_PER_SECOND
         if (endMs > dueMs(claim)) {
-            val lateAlone = wallMs + claim.leastS * TimeUnits.MS_PER_SECOND > dueMs(claim)
+            val lateAlone = wallMs + claim.minDurationS * TimeUnits.MS_PER_SECOND > dueMs(claim)
             val removed = if (lateAlone) claim.also { onTime.remove(it) } else onTime.poll()
             totalCpuS -= removed.workCpuS
             postponed.add(removed)
--- a/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
+++ b/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
@@ -3,22 +3,23 @@
 import mintfield.core.jobs.Job
 import mintfield.core.model.Priority
 
-/** One pass of the search for machines for a job's tasks: which images are near enough, and whether it preempts or spreads replicas. */
+/** One pass of the search for machines for a job's tasks: the image ranks that it accepts, and whether it preempts or spreads replicas. */
 internal class PlacementPhase private constructor(
-    /** The worst [ImageRank] that is accepted. */
-    val worstImage: Int,
-    /** Whether work of lower priority is stopped to make room. */
+    /** The highest, that is worst, [ImageRank] that is accepted. */
+    val maxImageRank: Int,
+    /** Whether attempts of lower priority are stopped to free capacity. */
     val preempting: Boolean = false,
-    /** Whether replicas fill only a fraction of each machine. */
+    /** Whether replicas fill only a fraction of each machine, [mintfield.core.constants.PlacementConstants.SPREAD_CPU_FRACTION]. */
     val spreading: Boolean = false,
 ) {
-    /** The sequences of phases. */
+    /** The sequences of phases for jobs with and without preemption. */
     companion object {
         private val ORDINARY = listOf(PlacementPhase(ImageRank.ABSENT))
 
         /**
-         * Preempting where the image is comes before fetching it elsewhere. Replicas fill each machine to a fraction only, as long as
-         * others will do: packed on the fullest machines, many would be lost with one, and their image would be on few machines.
+         * Preemption on machines that have the image is preferred to fetching it on other machines. Replicas fill only a fraction of each
+         * machine as long as other machines have capacity. Packed on the fullest machines, many replicas would be lost with one machine,
+         * and their image would be on few machines.
          */
         private val PREEMPTING =
             listOf(
--- a/src/main/kotlin/mintfield/core/placement/Preemption.kt
+++ b/src/main/kotlin/mintfield/core/placement/Preemption.kt
@@ -7,12 +7,12 @@
 import mintfield.core.jobs.AttemptState
 import mintfield.core.jobs.Job
 
-/** Stops work of lower priority to make room for a task, where the least work is lost. */
+/** Stops attempts of lower priority to free capacity for a task, on the machine where the least work is lost. */
 internal class Preemption(
     private val cluster: Cluster,
 ) {
-    /** Makes room for one task of [job] on one of [candidates] and returns that machine, or null if none can make enough room. */
-    fun makeRoom(
+    /** Frees capacity for one task of [job] on one of [candidates]. Returns that machine, or null if preemption frees enough on none of them. */
+    fun preemptFor(
         job: Job,
         candidates: List<RankedMachine>,
         nowMs: Long,
@@ -29,19 +29,20 @@
         }
         val chosen = best ?: return null
         val machine = chosen.first().machine
-        chosen.forEach { cluster.stop(it, nowMs, "room for ${job.spec.id} of priority ${job.displacingPriority}") }
+        chosen.forEach { cluster.stop(it, nowMs, "preempted for ${job.spec.id} of priority ${job.displacingPriority}") }
         return machine
     }
 
-    /** CPU seconds since the last change of [attempt]'s state: the work that is lost with it. */
+    /** The work that is lost with [attempt]: its CPU seconds since the last change of its state. */
     private fun lostCpuS(
         attempt: Attempt,
         nowMs: Long,
     ) = (nowMs - attempt.changedAtMs) / TimeUnits.MS_PER_SECOND.toDouble() * attempt.job.spec.cpus
 
     /**
-     * The attempts on [machine] to stop for a task of [job], those that changed last first; null if they are none or not enough. The room
-     * of attempts that are being stopped already belongs to those for which they are stopped.
+     * The attempts on [machine] to stop for a task of [job], the most recently changed first; null if there are none or if stopping them
+     * does not free enough. Attempts that are being stopped already do not count, as their capacity is reserved for the tasks for which
+     * they are stopped.
      */
     private fun victims(
         job: Job,
@@ -68,7 +69,7 @@
     }
 
     private companion object {
-        /** Cost of each worse [ImageRank], in CPU seconds of lost work. */
+        /** Cost of each increment of [ImageRank], in CPU seconds of lost work. */
         const val IMAGE_RANK_COST = 30.0
 
         val PREEMPTIBLE = setOf(AttemptState.STARTING, AttemptState.PULLING, AttemptState.RUNNING)
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -7,7 +7,7 @@
 import mintfield.core.model.Priority
 import mintfield.core.model.Shape
 
-/** Scheduling rounds: each takes the waiting jobs in their order and plans their tasks on machines. Used on the leader's event loop only. */
+/** Runs scheduling rounds. Each plans tasks of the waiting jobs on machines, in the order of [JobOrder]. Used only on the leader's event loop. */
 class SchedulingRound(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
@@ -15,8 +15,8 @@
     private val jobOrder = JobOrder(cluster)
 
     /**
-     * Plans up to [maxTasks] tasks, of services only if [replicasOnly] says so, and returns how many were planned. [nowMs] is steady time,
-     * [wallMs] the time of day.
+     * Plans up to [maxTasks] tasks, only tasks of services if [replicasOnly] is set. Returns the number of planned tasks. [nowMs] is the
+     * monotonic time and [wallMs] the time of day, both in milliseconds.
      */
     fun run(
         nowMs: Long,
@@ -29,8 +29,8 @@
         if (openMachines.isEmpty()) return 0
         val reserve = ReplicaReserve(cluster, openMachines)
         val withCapacity = MachinesWithCapacity(openMachines, waiting, reserve)
-        // While everything is full a round costs no more for many waiting jobs than for few.
-        if (withCapacity.none && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
+        // Returns early so that the cost of a round does not grow with the number of waiting jobs while all machines are full.
+        if (withCapacity.isEmpty && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
         return Run(nowMs, wallMs, maxTasks, waiting, openMachines, reserve, withCapacity).placeAll()
     }
 
@@ -45,7 +45,7 @@
     private fun openMachines(nowMs: Long): List<Machine> =
         cluster.machines.values.filter { it.acceptsTasks(nowMs, cluster.timings.heartbeatTimeoutMs) && cluster.ownership.mayStart(it.id) }
 
-    /** One round that is under way. */
+    /** The state of one round while it runs. */
     private inner class Run(
         nowMs: Long,
         wallMs: Long,
@@ -57,7 +57,7 @@
     ) {
         private val placement = TaskPlacement(cluster, openMachines, reserve, cluster.attemptNumber(), nowMs, log)
         private val exhausted = ExhaustedSearches()
-        private val settling = FailoverSettling(cluster, nowMs)
+        private val gracePeriod = FailoverGracePeriod(cluster, nowMs)
         private val order = jobOrder.sorted(waiting, wallMs)
         private val starvation = StarvationGuard(cluster, waiting, wallMs)
         private val arrayCpus = arrayCapacity(cluster)
@@ -68,8 +68,8 @@
         fun placeAll(): Int {
             placeStarving()
             reservedForGang = starvation.reservedForGang(openMachines)
-            val patient = placeInOrder()
-            placePatient(patient)
+            val deferred = placeInOrder()
+            placeDeferred(deferred)
             return planned
         }
 
@@ -80,40 +80,40 @@
             }
         }
 
-        /** Places jobs in their order. Returns those that, as room is scarce, were placed only where their image is. */
+        /** Places jobs in their order. Returns the deferred jobs, placed only on machines that have their image because capacity is scarce. */
         private fun placeInOrder(): List<Job> {
-            val patient = ArrayList<Job>()
+            val deferred = ArrayList<Job>()
             val waitingCpus = waiting.sumOf { it.schedulableTasks * it.spec.cpus }
-            val crowded = waitingCpus > openMachines.sumOf { it.type.cpus } * PlacementConstants.CROWDED_CPU_FRACTION
+            val saturated = waitingCpus > openMachines.sumOf { it.type.cpus } * PlacementConstants.SATURATED_CPU_FRACTION
             for (job in order) {
                 if (planned >= maxTasks) break
-                val waitsForImage = crowded && images.hasEnoughHolders(job)
-                if (waitsForImage) patient.add(job)
-                val worstImage = if (waitsForImage || settling.appliesTo(job)) ImageRank.PRESENT else ImageRank.ABSENT
-                place(job, maxTasks, worstImage, images.patienceS(job))
+                val waitsForImage = saturated && images.imageHoldersHaveCapacityFor(job)
+                if (waitsForImage) deferred.add(job)
+                val maxImageRank = if (waitsForImage || gracePeriod.appliesTo(job)) ImageRank.PRESENT else ImageRank.ABSENT
+                place(job, maxTasks, maxImageRank, images.maxFetchS(job))
             }
-            return patient
+            return deferred
         }
 
-        /** Room that no job with the image has taken is used by those that must fetch theirs. */
-        private fun placePatient(patient: List<Job>) {
-            for (job in patient) {
+        /** Places the [deferred] jobs on the capacity that is left, where they must fetch their image. */
+        private fun placeDeferred(deferred: List<Job>) {
+            for (job in deferred) {
                 if (planned >= maxTasks) return
-                if (job.waitingCount > 0 && !settling.appliesTo(job)) place(job, maxTasks, ImageRank.ABSENT, images.patienceS(job))
+                if (job.waitingCount > 0 && !gracePeriod.appliesTo(job)) place(job, maxTasks, ImageRank.ABSENT, images.maxFetchS(job))
             }
         }
 
         private fun place(
             job: Job,
             maxTasksOfJob: Int,
-            worstImage: Int,
-            patienceS: Double,
+            maxImageRank: Int,
+            maxFetchS: Double,
         ) {
             val most = minOf(maxTasksOfJob, maxTasks - planned)
             val allowed = minOf(most, cluster.quotas.allowance(job.spec), job.schedulableTasks)
-            if (allowed <= 0 || exhausted.covers(job, worstImage, patienceS)) return
-            val found = placement.place(job, candidates(job), allowed, worstImage, patienceS)
-            if (found < allowed) exhausted.add(job, worstImage, patienceS)
+            if (allowed <= 0 || exhausted.covers(job, maxImageRank, maxFetchS)) return
+            val found = placement.place(job, candidates(job), allowed, maxImageRank, maxFetchS)
+            if (found < allowed) exhausted.add(job, maxImageRank, maxFetchS)
             planned += found
         }
 
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -7,15 +7,15 @@
 import mintfield.core.model.Shape
 
 /**
- * Keeps the order of jobs from postponing one of them for ever: a job that has waited long gets a turn whatever its rank. With the least
- * work first, the largest jobs would otherwise wait for as long as demand exceeds capacity.
+ * Prevents starvation: a job that has waited long gets a turn regardless of its position in the order of jobs. Because the order prefers
+ * jobs with little work, the largest jobs would otherwise wait for as long as demand exceeds capacity.
  */
 class StarvationGuard(
     private val cluster: Cluster,
     private val waiting: List<Job>,
     private val wallMs: Long,
 ) {
-    /** A job that goes ahead of the order with up to [maxTasks] tasks. */
+    /** A job of which up to [maxTasks] tasks are placed before the jobs are placed in their order. */
     class Turn(
         val job: Job,
         val maxTasks: Int,
@@ -24,8 +24,10 @@
     private fun ageMs(job: Job) = wallMs - job.readySinceMs
 
     /**
-     * The turns of this round. Arrays that have not begun in time get a few tasks, the oldest first; then those that are long overdue
-     * get tasks out of a reserved fraction of [capacity], the CPUs for arrays, those of teams that hold least first.
+     * The turns of a round, given the [capacity] in CPUs for arrays. Arrays without a started task after
+     * [PlacementConstants.STARVATION_MS] get a few tasks, the oldest first. Then arrays that have waited for
+     * [PlacementConstants.LONG_STARVATION_MS] get tasks on a reserved fraction of [capacity], those of the team that uses the fewest CPUs
+     * first.
      */
     fun turns(capacity: Double): List<Turn> {
         val turns = ArrayList<Turn>()
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Machines of [openMachines] that are kept from arrays for the gang that has waited longest beyond its time: room for all its tasks at
-     * once comes about by itself only when demand is low.
+     * Machines of [openMachines] that are reserved, and closed to arrays, for the gang that has waited longest if it has waited for over
+     * [PlacementConstants.STARVATION_MS]. Without a reservation, capacity for all its tasks at once becomes free only when demand is low.
      */
     fun reservedForGang(openMachines: List<Machine>): Set<Machine> {
         val gang =
@@ -84,7 +86,7 @@
     }
 
     private companion object {
-        /** CPUs that a task counts with at least, so that tasks that need none are not unlimited. */
+        /** Minimum CPUs that a task is counted with, so that the number of tasks that need no CPU is limited. */
         const val MIN_TASK_CPUS = 0.01
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/TaskCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/TaskCapacity.kt
@@ -2,10 +2,10 @@
 
 import mintfield.core.model.JobSpec
 
-/** Tolerance for sums of fractions. */
+/** Tolerance for rounding errors in sums of fractions. */
 private const val EPSILON = 1e-6
 
-/** How many tasks of [spec] the given resources hold; never more than the job has. */
+/** Number of tasks of [spec] that fit on the given resources, at most the number of tasks of the job. */
 internal fun taskCapacity(
     spec: JobSpec,
     cpus: Double,
--- a/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
+++ b/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
@@ -8,8 +8,8 @@
 import mintfield.core.model.Shape
 
 /**
- * Places the waiting tasks of one job after the other on machines: bin packing by best fit, in phases that each accept more than the one
- * before. Lives for one round, whose attempts have the number [roundNumber].
+ * Places the waiting tasks of jobs on machines, one job at a time: best-fit bin packing in the phases of [PlacementPhase]. An instance is
+ * used for one round, whose attempts have the number [roundNumber].
  */
 internal class TaskPlacement(
     private val cluster: Cluster,
@@ -22,37 +22,37 @@
     private val preemption = Preemption(cluster)
 
     /**
-     * Plans up to [maxTasks] waiting tasks of [job] on [candidates] whose image rank is [worstImage] or better and whose fetch takes no
-     * more than [patienceS] seconds. Returns how many were planned.
+     * Plans up to [maxTasks] waiting tasks of [job] on [candidates] whose image rank is at most [maxImageRank] and whose image fetch takes at
+     * most [maxFetchS] seconds. Returns the number of planned tasks.
      */
     fun place(
         job: Job,
         candidates: List<Machine>,
         maxTasks: Int,
-        worstImage: Int,
-        patienceS: Double,
+        maxImageRank: Int,
+        maxFetchS: Double,
     ): Int {
         val isGang = job.spec.shape == Shape.GANG
-        // A gang is placed as a whole: not before its last attempts are gone, and only if there is room for all.
+        // A gang is placed as a whole: only after its previous attempts have ended, and only if all its tasks fit.
         if (candidates.isEmpty() || (isGang && (job.activeAttempts.isNotEmpty() || maxTasks < job.waitingCount))) return 0
         val zones = ZoneConstraint(job, openMachines)
         val avoided = if (failedOnFew(job, zones)) job.failedOn else emptySet()
-        val fitting = candidates.filter { it.id !in avoided && mayHold(job, it) && zones.allows(it.zone) }
-        val hasRoom = !isGang || fitting.sumOf { taskCapacity(job.spec, it.freeCpus, it.freeGpus, it.freeMemoryGb) } >= job.waitingCount
-        val planned = if (hasRoom) JobSearch(job, zones, fitting, maxTasks, worstImage, patienceS).run() else 0
+        val fitting = candidates.filter { it.id !in avoided && mayRunOn(job, it) && zones.allows(it.zone) }
+        val gangFits = !isGang || fitting.sumOf { taskCapacity(job.spec, it.freeCpus, it.freeGpus, it.freeMemoryGb) } >= job.waitingCount
+        val planned = if (gangFits) JobSearch(job, zones, fitting, maxTasks, maxImageRank, maxFetchS).run() else 0
         if (!isGang || job.waitingCount <= 0) return planned
-        // Room for each task by itself may still not hold all of them.
-        job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "the rest of its gang has no room") }
+        // The estimated capacity can suffice although not all tasks can be placed, for example because of the accepted images or the zones.
+        job.activeAttempts.toList().forEach { cluster.stop(it, nowMs, "no capacity for the rest of its gang") }
         return 0
     }
 
-    /** Whether [job] has failed on machines, but on few of those that could hold it, so that it can avoid them. */
+    /** Whether [job] has failed, but on less than half of the machines on which it may run, so that it can avoid these machines. */
     private fun failedOnFew(
         job: Job,
         zones: ZoneConstraint,
-    ) = job.failedOn.isNotEmpty() && job.failedOn.size < openMachines.count { mayHold(job, it) && zones.allows(it.zone) } / 2
+    ) = job.failedOn.isNotEmpty() && job.failedOn.size < openMachines.count { mayRunOn(job, it) && zones.allows(it.zone) } / 2
 
-    private fun mayHold(
+    private fun mayRunOn(
         job: Job,
         machine: Machine,
     ): Boolean {
@@ -60,49 +60,49 @@
         return machine.type.name in job.compatibleTypes && (spec.types == null || machine.type.name in spec.types) && (!machine.spot || spec.spot)
     }
 
-    /** The search for machines for one job among [fitting], which its constraints allow. */
+    /** The search for machines for one job among [fitting], the candidates that its constraints allow. */
     private inner class JobSearch(
         private val job: Job,
         private val zones: ZoneConstraint,
         private val fitting: List<Machine>,
         maxTasks: Int,
-        private val worstImage: Int,
-        private val patienceS: Double,
+        private val maxImageRank: Int,
+        private val maxFetchS: Double,
     ) {
         private val spec: JobSpec = job.spec
-        private val withRoom = MachineRanking(spec, fitting.filter { isNear(it) && hasRoom(it) })
+        private val rankedMachines = MachineRanking(spec, fitting.filter { isImageAccepted(it) && hasRoom(it) })
         private val tasks = job.waiting(maxTasks).iterator()
         private var planned = 0
 
         fun run(): Int {
             for (phase in PlacementPhase.of(job)) {
                 if (!tasks.hasNext()) break
-                val worst = minOf(phase.worstImage, worstImage)
-                if (phase.preempting) preempt(worst) else fill(worst, phase.spreading)
+                val maxRank = minOf(phase.maxImageRank, maxImageRank)
+                if (phase.preempting) preempt(maxRank) else fill(maxRank, phase.spreading)
             }
             return planned
         }
 
-        private fun isNear(machine: Machine): Boolean {
+        private fun isImageAccepted(machine: Machine): Boolean {
             val rank = ImageRank.of(machine, spec.image)
-            return rank == ImageRank.PRESENT || (rank <= worstImage && machine.images.fetchS(spec.image, spec.imageGb) <= patienceS)
+            return rank == ImageRank.PRESENT || (rank <= maxImageRank && machine.images.fetchS(spec.image, spec.imageGb) <= maxFetchS)
         }
 
         private fun hasRoom(machine: Machine) = machine.occupancy.hasRoomFor(spec.cpus + reserve.margin(machine, spec), spec.gpus, spec.memoryGb)
 
         private fun fill(
-            worst: Int,
+            maxRank: Int,
             spreading: Boolean,
         ) {
-            for (ranked in withRoom) {
+            for (ranked in rankedMachines) {
                 if (!tasks.hasNext()) return
-                if (ranked.imageRank <= worst && fetchIsShort(ranked)) fill(ranked.machine, spreading)
+                if (ranked.imageRank <= maxRank && isFetchAccepted(ranked)) fill(ranked.machine, spreading)
             }
         }
 
-        /** Tasks placed meanwhile may have lengthened the fetch. */
-        private fun fetchIsShort(ranked: RankedMachine) =
-            ranked.imageRank == ImageRank.PRESENT || ranked.machine.images.fetchS(spec.image, spec.imageGb) <= patienceS
+        /** Whether the image fetch on the machine still takes at most [maxFetchS] seconds. Tasks placed after the ranking may have made it longer. */
+        private fun isFetchAccepted(ranked: RankedMachine) =
+            ranked.imageRank == ImageRank.PRESENT || ranked.machine.images.fetchS(spec.image, spec.imageGb) <= maxFetchS
 
         private fun fill(
             machine: Machine,
@@ -111,16 +111,16 @@
             val isSpread = spreading && spec.shape == Shape.SERVICE
             val maxServiceCpus = if (isSpread) machine.type.cpus * PlacementConstants.SPREAD_CPU_FRACTION else machine.type.cpus
             while (tasks.hasNext() && machine.occupancy.serviceCpus + spec.cpus <= maxServiceCpus && hasRoom(machine) && zones.allows(machine.zone)) {
-                reserve.taken(machine, spec.cpus)
+                reserve.recordTask(machine, spec.cpus)
                 planNext(machine)
             }
         }
 
-        private fun preempt(worst: Int) {
-            val ranking = MachineRanking(spec, fitting.filter { ImageRank.of(it, spec.image) <= worst })
+        private fun preempt(maxRank: Int) {
+            val ranking = MachineRanking(spec, fitting.filter { ImageRank.of(it, spec.image) <= maxRank })
             while (tasks.hasNext()) {
                 val candidates = ranking.filter { zones.allows(it.machine.zone) }
-                val machine = preemption.makeRoom(job, candidates, nowMs) ?: return
+                val machine = preemption.preemptFor(job, candidates, nowMs) ?: return
                 planNext(machine)
             }
         }
@@ -131,9 +131,9 @@
             cluster.occupy(job, index, roundNumber, machine, machine.incarnation)
             job.lastPlanAtMs = nowMs
             if (spec.shape == Shape.SERVICE) {
-                log("placing ${spec.id}/$index on ${machine.id}, image ${if (machine.images.has(spec.image)) "there" else "to fetch"}")
+                log("placing ${spec.id}/$index on ${machine.id}, image ${if (machine.images.has(spec.image)) "present" else "to be fetched"}")
             }
-            zones.placed(machine.zone)
+            zones.recordPlaced(machine.zone)
             planned++
         }
     }
--- a/src/main/kotlin/mintfield/core/placement/ZoneConstraint.kt
+++ b/src/main/kotlin/mintfield/core/placement/ZoneConstraint.kt
@@ -3,7 +3,7 @@
 import mintfield.core.fleet.Machine
 import mintfield.core.jobs.Job
 
-/** The zones that the next task of [job] may go to, given where its other tasks are. */
+/** The zones in which the next task of [job] may be placed, given the zones of its other tasks. */
 class ZoneConstraint(
     private val job: Job,
     openMachines: List<Machine>,
@@ -11,10 +11,13 @@
     private val spec = job.spec
     private val tasksByZone = HashMap<String, Int>()
 
-    /** The one zone that is allowed; null if any is. */
+    /** The only zone that is allowed; null if all zones are. */
     private val onlyZone: String?
 
-    /** Whether the zone of one of its tasks is unknown, as its machine is known by name only. Then no zone is safe to choose. */
+    /**
+     * Whether the zone of one of the job's tasks is unknown, because only the name of its machine is known. No zone is allowed then, as each
+     * could violate the constraint.
+     */
     private val zoneUnknown = (spec.oneZone || spec.spread) && job.activeAttempts.any { it.machine.provisional }
 
     init {
@@ -35,19 +38,19 @@
             .maxByOrNull { (_, machines) -> machines.sumOf { Math.floor(it.freeCpus / maxOf(spec.cpus, MIN_CPUS)) } }
             ?.key
 
-    /** Whether the next task may go to [zone]. A job that is to be spread has no more than half of its tasks, rounded up, in one zone. */
+    /** Whether the next task may be placed in [zone]. A job with spread tasks has at most half of them, rounded up, in one zone. */
     fun allows(zone: String): Boolean {
         if (zoneUnknown || (onlyZone != null && zone != onlyZone)) return false
         return !spec.spread || (tasksByZone[zone] ?: 0) < (spec.tasks + 1) / 2
     }
 
-    /** A task has been planned in [zone]. */
-    fun placed(zone: String) {
+    /** Records that a task has been planned in [zone]. */
+    fun recordPlaced(zone: String) {
         tasksByZone.merge(zone, 1, Int::plus)
     }
 
     private companion object {
-        /** Keeps the quotient finite for tasks that need no CPU. */
+        /** Minimum divisor, which keeps the quotient finite for tasks that need no CPU. */
         const val MIN_CPUS = 1e-6
     }
 }
