--- a/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
@@ -29,7 +29,7 @@
     /** Ids of the predecessors of which it is unknown whether they are unfinished, done or cancelled. */
     val unresolved: Set<String> get() = unresolvedIds
 
-    /** All jobs in the graph, in no particular order. */
+    /** All jobs in the graph, including those that only are predecessors of others. */
     val all: Collection<DependencyNode> get() = nodes.values
 
     /** Whether all predecessors of [id] are known to be done. */
@@ -139,7 +139,7 @@
         moveTo(node, stateOf(final))
     }
 
-    /** Handles the lack of both a record and a final state of job [id], which was accepted: its successors wait until either is found. */
+    /** Handles an accepted job [id] that has neither a record nor a final state: its successors wait until either is found. */
     fun recordMissing(id: String) {
         val node = nodes[id] ?: return
         if (node.state == PredecessorState.UNRESOLVED) moveTo(node, PredecessorState.UNFINISHED)
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -11,9 +11,9 @@
  * Inheritance of priority and deadline along dependencies. Users set both only on the last job of a pipeline. With their own priority
  * and deadline, its predecessors would be placed last and end after the deadline of the last job.
  *
- * A job has the highest priority of itself and its unfinished direct and transitive successors. Its due time is the earliest of the due
- * times that follow from these successors: the deadline of a successor, less the time that it and the jobs in between are expected to
- * take to start, fetch their images and run.
+ * A job has the highest priority of itself and its unfinished direct and transitive successors. It inherits a due time
+ * from each of these successors that has a deadline: the deadline, less the time that the successor and the jobs in between are expected
+ * to take to start, fetch their images and run. The earliest of these due times applies.
  */
 class InheritedUrgency(
     private val cluster: Cluster,
--- a/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
+++ b/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
@@ -14,7 +14,7 @@
 ) {
     /** The sequences of phases for jobs with and without preemption. */
     companion object {
-        private val ORDINARY = listOf(PlacementPhase(ImageRank.ABSENT))
+        private val NON_PREEMPTING = listOf(PlacementPhase(ImageRank.ABSENT))
 
         /**
          * Preemption on machines that have the image is preferred to fetching it on other machines. Replicas fill only a fraction of each
@@ -34,6 +34,6 @@
             )
 
         /** The phases for tasks of [job], in order. */
-        fun of(job: Job): List<PlacementPhase> = if (job.displacingPriority < Priority.NORMAL) PREEMPTING else ORDINARY
+        fun of(job: Job): List<PlacementPhase> = if (job.displacingPriority < Priority.NORMAL) PREEMPTING else NON_PREEMPTING
     }
 }
