--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -73,7 +73,7 @@
             val key = entry.key.removePrefix(keys.zoneFences)
             ZoneFenceCodec.decode(key, entry.data).valueOrNull?.let { fencing.replay(it) } ?: fencing.replayUnreadable(key)
         }
-        fencing.read = true
+        fencing.hasReadRecords = true
     }
 
     private suspend fun readTypes() {
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -40,7 +40,7 @@
         yielding: Boolean,
     ): Commit? {
         if (isRaiseDue(nowMs)) return Commit(cluster.term, listOf(Write.RaiseTerm))
-        zoneFencing.look(nowMs, wallMs)
+        zoneFencing.updateFences(nowMs, wallMs)
         val scarce = ops < cluster.limits.txnOps * PlacementConstants.PLENTIFUL_WRITES_FRACTION
         rounds.runIfDue(nowMs, wallMs, scarce)
         val batch = CommitBatch(ops)
@@ -95,7 +95,7 @@
     }
 
     private fun addScaleOutIntents(batch: CommitBatch) {
-        batch.addAll(fleet.wantedIntents.asSequence().take(1)) { Write.WriteIntent(it) }
+        batch.addAll(fleet.unrecordedIntents.asSequence().take(1)) { Write.WriteIntent(it) }
         // A successor would carry out an intent that is left behind once more, at the slow pace of cloud requests.
         batch.addAll(fleet.completedIntents.asSequence()) { Write.DeleteIntent(it) }
     }
@@ -165,7 +165,7 @@
                 ended(write.job.id, nowMs)
             }
             is Write.WriteIntent -> {
-                fleet.wantedIntents.remove(write.intent)
+                fleet.unrecordedIntents.remove(write.intent)
                 fleet.intents[write.intent.idempotencyKey] = write.intent
             }
             is Write.SaveLearnedState -> {}
--- a/src/main/kotlin/mintfield/core/HeartbeatService.kt
+++ b/src/main/kotlin/mintfield/core/HeartbeatService.kt
@@ -50,11 +50,11 @@
     ): HeartbeatResponse {
         if (!ownership.owns(heartbeat.machine)) return HeartbeatResponse.NotOwner
         if (heartbeat.termSeen > token(heartbeat)) return HeartbeatResponse.Deposed
-        if (!zoneFencing.mayAnswer(heartbeat.machine)) return HeartbeatResponse.ZoneFenced
+        if (!zoneFencing.mayRespondTo(heartbeat.machine)) return HeartbeatResponse.ZoneFenced
         val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
         if (!replay.isComplete) return answerDuringReplay(heartbeat, mayRenew, nowMs)
         val machine = knownMachine(heartbeat, nowMs) ?: return if (mayRenew) stopsOnly(heartbeat) else HeartbeatResponse.RenewalRefused
-        machine.directRoute.heartbeatCame(relayed, viaRelayPeer)
+        machine.directRoute.recordHeartbeat(relayed, viaRelayPeer)
         recordBootTime(machine, heartbeat, nowMs)
         return answer(machine, heartbeat, mayAct, mayRenew, nowMs)
     }
@@ -103,7 +103,7 @@
         heartbeat: Heartbeat,
         nowMs: Long,
     ): Machine? {
-        val machine = fleet.registry.machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
+        val machine = fleet.registry.getOrAdd(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
         if (machine == null || !machine.provisional) return machine
         return fleet.registry.redescribe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot, nowMs)
     }
@@ -115,6 +115,6 @@
     ) {
         val isFirstHeartbeat = heartbeat.incarnation == 1L && heartbeat.termSeen == 0L
         if (machine.state != MachineState.PROVISIONING || !isFirstHeartbeat) return
-        fleet.bootTimes.cameUp(machine, nowMs - machine.origin.firstSeenAtMs, nowMs)
+        fleet.bootTimes.recordBoot(machine, nowMs - machine.origin.firstSeenAtMs, nowMs)
     }
 }
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -63,7 +63,7 @@
     /** Ends the replay: all records have been handed in, and the leader plans from now on. */
     fun complete(nowMs: Long) {
         isComplete = true
-        zoneFencing.read = true
+        zoneFencing.hasReadRecords = true
         cluster.replayedAtMs = nowMs
         // What was replayed is written already.
         for (job in cluster.jobs.values) {
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -179,7 +179,7 @@
     fun tick(nowMs: Long) {
         if (!loaded) return
         fleet.tick(nowMs)
-        fleet.size(nowMs)
+        fleet.resize(nowMs)
     }
 
     /** One line for the log on what the leader schedules. */
--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -5,20 +5,20 @@
 import mintfield.core.constants.FleetConstants
 import mintfield.core.constants.TimeUnits
 
-/** Reads the cloud's list of machines page by page, and compares each full read with the machines that are known. */
+/** Reads the cloud's list of machines page by page, and releases unresponsive machines that a complete read no longer contains. */
 class CloudListing(
     private val cluster: Cluster,
     private val registry: MachineRegistry,
     private val releases: MachineReleases,
     private val released: ReleasedMachines,
 ) {
-    /** Name after which the next page starts; null at the start of the list. */
-    private var after: String? = null
+    /** Name of the machine after which the next page starts; null at the start of the list. */
+    private var nextPageAfter: String? = null
 
-    /** Whether a read has begun and further pages follow. */
-    private var underWay = false
+    /** Whether the current read has further pages. */
+    private var isReadInProgress = false
 
-    /** When the first page of the current read came. */
+    /** Steady milliseconds at which the first page of the current read was received. */
     private var startedAtMs = Machine.NEVER
     private var completedAtMs = Machine.NEVER
 
@@ -26,28 +26,28 @@
     var hasCompleted = false
         private set
 
-    /** Machines that the cloud lists and that have no owner, with the steady milliseconds at which each was first seen so. */
-    val ownerless = LinkedHashMap<String, Long>()
+    /** Machines that the cloud lists and that have no owner, with the steady milliseconds at which each was first seen without one. */
+    val unowned = LinkedHashMap<String, Long>()
 
-    /** The call for the next page. */
-    fun nextPage(): CloudCall = CloudCall.ListPage(after)
+    /** The cloud call that reads the next page of the list. */
+    fun nextPage(): CloudCall = CloudCall.ListPage(nextPageAfter)
 
-    /** Whether a page is to be read now. */
-    fun isDue(nowMs: Long): Boolean = underWay || nowMs - completedAtMs >= FleetConstants.LIST_INTERVAL_MS
+    /** Whether a page should be read at [nowMs]: a read is in progress, or the interval since the last complete one has passed. */
+    fun isDue(nowMs: Long): Boolean = isReadInProgress || nowMs - completedAtMs >= FleetConstants.LIST_INTERVAL_MS
 
-    /** Milliseconds after which a list must show what there is, at the latest. */
-    fun lagMs(): Long = (cluster.settings.listLagS * TimeUnits.MS_PER_SECOND * FleetConstants.LIST_LAG_FACTOR).toLong() + FleetConstants.LIST_INTERVAL_MS
+    /** Longest time in milliseconds until a machine that exists appears in a read of the list. */
+    fun maxLagMs(): Long = (cluster.settings.listLagS * TimeUnits.MS_PER_SECOND * FleetConstants.LIST_LAG_FACTOR).toLong() + FleetConstants.LIST_INTERVAL_MS
 
-    /** Takes in [page]; [hasNext] says whether others follow it. */
+    /** Processes [page] of the list; [hasNext] is false for the last page, which completes the read. */
     fun pageRead(
         page: List<ListedMachine>,
         hasNext: Boolean,
         nowMs: Long,
     ) {
-        for (entry in page) takeIn(entry, nowMs)
-        if (after == null) startedAtMs = nowMs
-        underWay = hasNext
-        after = if (hasNext) page.lastOrNull()?.id else null
+        for (entry in page) processEntry(entry, nowMs)
+        if (nextPageAfter == null) startedAtMs = nowMs
+        isReadInProgress = hasNext
+        nextPageAfter = if (hasNext) page.lastOrNull()?.id else null
         if (!hasNext) {
             releaseUnlisted(nowMs)
             completedAtMs = nowMs
@@ -55,54 +55,54 @@
         }
     }
 
-    private fun takeIn(
+    private fun processEntry(
         entry: ListedMachine,
         nowMs: Long,
     ) {
         if (!cluster.ownership.owns(entry.id)) {
-            if (cluster.ownership.isGone(entry.id) && entry.id !in released) ownerless.putIfAbsent(entry.id, nowMs)
+            if (cluster.ownership.isGone(entry.id) && entry.id !in released) unowned.putIfAbsent(entry.id, nowMs)
             return
         }
-        ownerless.remove(entry.id)
+        unowned.remove(entry.id)
         val known = entry.id in cluster.machines
-        val machine = registry.machine(entry.id, entry.type, entry.zone, entry.spot, nowMs) ?: return
-        if (entry.hasFailed && entry.id !in released) return releases.schedule(machine, nowMs, "it failed by itself")
+        val machine = registry.getOrAdd(entry.id, entry.type, entry.zone, entry.spot, nowMs) ?: return
+        if (entry.hasFailed && entry.id !in released) return releases.schedule(machine, nowMs, "the cloud lists it as failed")
         machine.origin.listed(nowMs)
         val described = if (machine.provisional) registry.redescribe(machine, entry.type, entry.zone, entry.spot, nowMs) ?: machine else machine
-        if (entry.isBooting) takeInBooting(entry, described, known, nowMs)
+        if (entry.isBooting) processBootingEntry(entry, described, known, nowMs)
     }
 
     /**
-     * A machine that boots is as old as it is listed, and not in use. One that is up has merely not sent this leader a heartbeat yet:
-     * judged by its age, the whole fleet would be released after a failover.
+     * Takes the age of a booting machine from the list; such a machine is not in use. The age of a running machine is not taken over: after a
+     * failover none has sent the new leader a heartbeat yet, and judged by its age the whole fleet would exceed the boot timeout and be released.
      */
-    private fun takeInBooting(
+    private fun processBootingEntry(
         entry: ListedMachine,
         machine: Machine,
         known: Boolean,
         nowMs: Long,
     ) {
         machine.origin.clearAdoption()
-        if (!known) machine.origin.seenSince(nowMs - (entry.heldS * TimeUnits.MS_PER_SECOND).toLong().coerceAtMost(MAX_HELD_MS))
+        if (!known) machine.origin.seenSince(nowMs - (entry.ageS * TimeUnits.MS_PER_SECOND).toLong().coerceAtMost(MAX_AGE_MS))
     }
 
     /**
-     * Releases machines that are unresponsive, were listed for long enough for every list to have them, and are not any more: the cloud
-     * has reclaimed them. The release proves that, and there may be capacity for others in their place.
+     * Releases unresponsive machines that are no longer listed although every read should contain them by now: the cloud has reclaimed them.
+     * The confirmed release proves that their tasks have ended, and their capacity can be provisioned again.
      */
     private fun releaseUnlisted(nowMs: Long) {
-        val lagMs = lagMs()
+        val maxLagMs = maxLagMs()
         for (machine in cluster.machines.values.toList()) {
             if (machine.state != MachineState.UNRESPONSIVE || !isMissing(machine.origin)) continue
-            if (nowMs - machine.origin.firstListedAtMs > lagMs) releases.schedule(machine, nowMs, "unresponsive and not listed any more")
+            if (nowMs - machine.origin.firstListedAtMs > maxLagMs) releases.schedule(machine, nowMs, "unresponsive and no longer listed")
         }
     }
 
-    /** Whether an earlier read had the machine and the current one does not. */
+    /** Whether an earlier read contained the machine and the current one does not. */
     private fun isMissing(origin: MachineOrigin) = origin.firstListedAtMs != Machine.NEVER && origin.listedAtMs < startedAtMs
 
     private companion object {
-        /** Bounds the age of a machine that has just been listed as booting. */
-        const val MAX_HELD_MS = 3_600_000L
+        /** Upper bound of the age taken over from the list for a booting machine. */
+        const val MAX_AGE_MS = 3_600_000L
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/DirectRoute.kt
+++ b/src/main/kotlin/mintfield/core/fleet/DirectRoute.kt
@@ -1,28 +1,28 @@
 package mintfield.core.fleet
 
-/** The route by which the leader calls a worker itself, instead of waiting for its next heartbeat. Times are steady milliseconds. */
+/** State of the direct calls from the leader to one worker, which need not wait for its next heartbeat. Times are steady milliseconds. */
 class DirectRoute {
-    /** Whether a call is under way; there is never more than one for a machine. */
+    /** Whether a call is in flight; there is at most one per machine. */
     var inFlight = false
         private set
 
-    /** No call is made before this moment. */
+    /** Time before which no call is made. */
     var pausedUntilMs = 0L
         private set
 
-    /** Whether the last heartbeat came by way of a peer, so that a direct call would most likely not arrive. */
+    /** Whether a peer relayed the last heartbeat: a direct call would then most likely not arrive. */
     var relayed = false
         private set
 
-    /** Whether it came that way because the worker was referred to that peer; it can then be called all the same. */
+    /** Whether the last heartbeat was relayed because the worker had been referred to that peer; direct calls can then still reach the worker. */
     var viaRelayPeer = false
         private set
 
-    /** Whether the last heartbeat speaks against calling the worker itself. */
-    val isUnlikely: Boolean get() = relayed && !viaRelayPeer
+    /** Whether a direct call would most likely fail, judging by the route of the last heartbeat. */
+    val isLikelyUnusable: Boolean get() = relayed && !viaRelayPeer
 
-    /** A heartbeat came, [relayed] by a peer or not, and if so perhaps because the worker was referred to it ([viaRelayPeer]). */
-    fun heartbeatCame(
+    /** Records the route of a heartbeat: whether a peer [relayed] it, and whether the worker had been referred to that peer ([viaRelayPeer]). */
+    fun recordHeartbeat(
         relayed: Boolean,
         viaRelayPeer: Boolean,
     ) {
@@ -30,17 +30,17 @@
         this.viaRelayPeer = viaRelayPeer
     }
 
-    /** A call is about to be sent. */
+    /** Marks a call as in flight; to be called before it is sent. */
     fun callStarted() {
         inFlight = true
     }
 
-    /** The call was answered or given up. */
+    /** Marks the call as ended, by a response or because it was abandoned. */
     fun callEnded() {
         inFlight = false
     }
 
-    /** Makes no call before [untilMs]. */
+    /** Suspends calls until [untilMs]. */
     fun pauseUntil(untilMs: Long) {
         pausedUntilMs = untilMs
     }
--- a/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
@@ -1,50 +1,50 @@
 package mintfield.core.fleet
 
-/** Failures of tasks on one machine since its last success, and for how long it gets no new tasks for them. Times are steady milliseconds. */
+/** Failures of tasks on one machine since its last success, and the resulting backoff and quarantine. Times are steady milliseconds. */
 class FailureRecord {
-    private val suspects = HashSet<String>()
+    private val suspectJobIds = HashSet<String>()
 
-    /** Failures since the last success, less those that turned out to be their jobs' fault. */
+    /** Failures since the last success, without those attributed to their jobs. */
     var failures = 0
         private set
 
-    /** Those of [failures] that are the machine's fault, as the jobs succeed elsewhere. */
+    /** Number of [failures] attributed to the machine, because the jobs succeed on other machines. */
     var attributedFailures = 0
         private set
 
-    /** No new tasks before this moment, as the machine refused some or its responses were lost. */
+    /** Time before which no new tasks are planned here, because the machine refused tasks or its responses were lost. */
     var backoffUntilMs = 0L
         private set
 
-    /** No new tasks before this moment, as it fails them. */
+    /** Time before which no new tasks are planned here, because tasks fail on the machine. */
     var quarantinedUntilMs = 0L
         private set
 
     /**
-     * Number of jobs among [failures] of which it is not known whether they can succeed. A field of its own, as each tick reads it for each
-     * machine.
+     * Number of jobs with [failures] here of which it is unknown whether they can succeed anywhere. Kept as a field because each tick reads it
+     * for each machine.
      */
     var suspectJobs = 0
         private set
 
-    /** A task has succeeded here. */
+    /** Records that a task has succeeded here, which resets the failure counts. */
     fun succeeded() {
         failures = 0
         attributedFailures = 0
-        suspects.clear()
+        suspectJobIds.clear()
         suspectJobs = 0
     }
 
-    /** A task of a healthy job has failed here. */
+    /** Records a failure of a task whose job succeeds elsewhere, attributed to the machine. */
     fun failedByMachine() {
         failures++
         attributedFailures++
     }
 
-    /** A task of [job], which has neither succeeded nor become suspect, has failed here. */
+    /** Records a failure of a task of [job], which has neither succeeded nor become suspect. */
     fun failedForUnknownCause(job: String) {
         failures++
-        if (suspects.add(job)) suspectJobs++
+        if (suspectJobIds.add(job)) suspectJobs++
     }
 
     /** Attributes the [times] failures of [job] here to the machine, unless the machine has succeeded since. */
@@ -55,7 +55,7 @@
         if (removeSuspect(job)) attributedFailures += times
     }
 
-    /** Attributes the [times] failures of [job] here to the job; ends the quarantine if nothing else speaks for it. */
+    /** Attributes the [times] failures of [job] here to the job; ends the quarantine if no suspect job or attributed failure remains. */
     fun attributeToJob(
         job: String,
         times: Int,
@@ -67,17 +67,17 @@
     }
 
     private fun removeSuspect(job: String): Boolean {
-        val removed = suspects.remove(job)
+        val removed = suspectJobIds.remove(job)
         if (removed) suspectJobs--
         return removed
     }
 
-    /** Plans no new tasks here before [untilMs], as the machine fails them. */
+    /** Quarantines the machine until [untilMs], because tasks fail on it: no new tasks are planned here. */
     fun quarantineUntil(untilMs: Long) {
         quarantinedUntilMs = untilMs
     }
 
-    /** Plans no new tasks here before [untilMs], nor before the end of an earlier backoff. */
+    /** Plans no new tasks here before [untilMs] or the end of an earlier backoff, whichever is later. */
     fun backOffUntil(untilMs: Long) {
         backoffUntilMs = maxOf(backoffUntilMs, untilMs)
     }
--- a/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
@@ -7,7 +7,7 @@
 import mintfield.core.model.MachineType
 
 /**
- * The leader's view of the cloud: decides what to provision and what to release, says which call to make next, and takes in the answers.
+ * The leader's view of the cloud: decides what to provision and release, chooses the next cloud call, and processes the responses.
  * Used on the leader's event loop only; times are steady milliseconds.
  */
 class FleetManager(
@@ -17,10 +17,10 @@
     private val releasedMachines = ReleasedMachines()
     private val releases = MachineReleases(cluster, releasedMachines, log)
 
-    /** The machines of this leader, and the changes of their description and owner. */
+    /** Registry of this leader's machines, which tracks changes of their description and owner. */
     val registry = MachineRegistry(cluster, releasedMachines)
 
-    /** How long machines took to boot lately. */
+    /** Recent boot times, from which overdue machines are determined. */
     val bootTimes = BootTimes()
     private val listing = CloudListing(cluster, registry, releases, releasedMachines)
     private val sizing = FleetSizing(cluster, bootTimes, releases, log)
@@ -28,25 +28,25 @@
     private var typesReadAtMs = Machine.NEVER
     private var pausedUntilMs = Machine.NEVER
 
-    /** Scale-out requests that are written and to be carried out, by idempotency key. */
+    /** Scale-out requests that are recorded in the store and not yet carried out, by idempotency key. */
     val intents = LinkedHashMap<String, ScaleOutIntent>()
 
-    /** Idempotency keys of requests that are settled and whose records are to be deleted. */
+    /** Idempotency keys of completed requests whose records are to be deleted from the store. */
     val completedIntents = ArrayDeque<String>()
 
-    /** Scale-out requests that are wanted; to be written as intents before they are carried out. */
-    val wantedIntents: ArrayDeque<ScaleOutIntent> get() = sizing.wantedIntents
+    /** Scale-out requests that must be recorded as intents in the store before they are carried out. */
+    val unrecordedIntents: ArrayDeque<ScaleOutIntent> get() = sizing.unrecordedIntents
 
-    /** Machines that the cloud lists and that have no owner, with the moment at which each was first seen so. */
-    val ownerless: MutableMap<String, Long> get() = listing.ownerless
+    /** Machines that the cloud lists and that have no owner, with the time at which each was first seen without one. */
+    val unowned: MutableMap<String, Long> get() = listing.unowned
 
-    /** Called with the name of each machine that is certainly gone. */
+    /** Called with the name of each machine whose release the cloud has confirmed. */
     var onReleased: (String) -> Unit = {}
 
-    /** Called with what was provisioned for an intent before it is used; returns whether it may be used at once. */
+    /** Called with an intent and the machines provisioned for it, before they are used; returns whether they may be used at once. */
     var onProvisioned: (ScaleOutIntent, List<String>) -> Boolean = { _, _ -> true }
 
-    /** The catalogue of machine types was read. */
+    /** Replaces or adds the machine [types] that were read from the cloud's catalogue. */
     fun typesRead(
         types: List<MachineType>,
         nowMs: Long,
@@ -55,7 +55,7 @@
         types.forEach { cluster.types[it.name] = it }
     }
 
-    /** The next call to the cloud, the most urgent first; null if there is nothing to do now. */
+    /** Returns the most urgent cloud call to make at [nowMs], or null if there is none. */
     fun nextCall(nowMs: Long): CloudCall? {
         if (nowMs < pausedUntilMs) return null
         val toRelease = releases.nextBatch(nowMs)
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The cloud did not carry out [call], or did not answer it: it is made again after a pause. */
+    /** Handles a failed or unanswered [call]: it is repeated after a pause. */
     fun failed(
         call: CloudCall,
         nowMs: Long,
@@ -79,17 +79,17 @@
         if (call is CloudCall.Release) releases.failed(call.machines, nowMs)
     }
 
-    /** A page of the cloud's list was read; [hasNext] says whether others follow it. */
+    /** Processes [page] of the cloud's list; [hasNext] is false for the last page. */
     fun listed(
         page: List<ListedMachine>,
         hasNext: Boolean,
         nowMs: Long,
     ) = listing.pageRead(page, hasNext, nowMs)
 
-    /** Milliseconds after which a list must show what there is, at the latest. */
-    fun listLagMs(): Long = listing.lagMs()
+    /** Longest time in milliseconds until a machine that exists appears in a read of the list. */
+    fun maxListLagMs(): Long = listing.maxLagMs()
 
-    /** The cloud has provisioned the machines [ids] for [intent], perhaps fewer than it asked for. */
+    /** Handles the response to [intent]: the cloud has provisioned the machines [ids], perhaps fewer than requested. */
     fun provisioned(
         intent: ScaleOutIntent,
         ids: List<String>,
@@ -98,14 +98,14 @@
         intents.remove(intent.idempotencyKey)
         if (onProvisioned(intent, ids)) {
             completedIntents.add(intent.idempotencyKey)
-            ids.forEach { registry.machine(it, intent.type, intent.zone, intent.spot, nowMs) }
+            ids.forEach { registry.getOrAdd(it, intent.type, intent.zone, intent.spot, nowMs) }
         }
         log("provisioned ${ids.size} of ${intent.number} ${intent.type} in ${intent.zone}${if (intent.spot) ", spot" else ""}: $ids")
         if (ids.isNotEmpty()) sizing.granted(intent)
         if (ids.size < intent.number) sizing.refused(intent, nowMs)
     }
 
-    /** The cloud has no capacity for [intent]. */
+    /** Handles a response that the cloud has no capacity for [intent]. */
     fun noCapacity(
         intent: ScaleOutIntent,
         nowMs: Long,
@@ -115,7 +115,7 @@
         sizing.refused(intent, nowMs)
     }
 
-    /** The cloud has confirmed that the machines [ids] and everything on them are gone. */
+    /** Handles the cloud's confirmation that the machines [ids] are released and everything on them has ended. */
     fun released(
         ids: List<String>,
         nowMs: Long,
@@ -127,14 +127,14 @@
         }
     }
 
-    /** Decides that [machine] is to be released, for [reason]. */
+    /** Schedules the release of [machine]; [reason] is logged. */
     fun scheduleRelease(
         machine: Machine,
         nowMs: Long,
         reason: String,
     ) = releases.schedule(machine, nowMs, reason)
 
-    /** The machine [id] is another shard's from now on; tasks that are planned there stay until its owner has answered for them. */
+    /** Hands the machine [id] over to another shard; tasks that are planned there remain until the new owner has reported on them. */
     fun handedOver(
         id: String,
         nowMs: Long,
@@ -142,20 +142,20 @@
         if (registry.handOver(id, nowMs)) sizing.forget(id)
     }
 
-    /** Applies the time limits of each machine; to be called every [mintfield.core.constants.PlacementConstants.TICK_INTERVAL_MS]. */
+    /** Applies the time limits of all machines; to be called every [mintfield.core.constants.PlacementConstants.TICK_INTERVAL_MS]. */
     fun tick(nowMs: Long) = watch.check(nowMs)
 
-    /** Whether the lease that [machine] had from this leader has certainly expired. */
+    /** Whether the lease that this leader granted to [machine] is known to have expired. */
     fun leaseExpired(
         machine: Machine,
         nowMs: Long,
     ): Boolean = watch.leaseExpired(machine, nowMs)
 
-    /** Compares demand with capacity, once that is known and no earlier request is under way. */
-    fun size(nowMs: Long) {
-        if (listing.hasCompleted && wantedIntents.isEmpty() && intents.isEmpty() && cluster.ownership.claiming == 0) sizing.resize(nowMs)
+    /** Scales the fleet to the demand. Does nothing until the list has been read and all earlier requests are completed. */
+    fun resize(nowMs: Long) {
+        if (listing.hasCompleted && unrecordedIntents.isEmpty() && intents.isEmpty() && cluster.ownership.claiming == 0) sizing.resize(nowMs)
     }
 
-    /** Number of machines that are overdue to come up. */
+    /** Number of machines whose boot is overdue. */
     fun overdueCount(nowMs: Long): Int = sizing.overdueCount(nowMs)
 }
--- a/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
@@ -7,26 +7,26 @@
 import mintfield.core.model.MachineType
 import mintfield.core.model.Shape
 
-/** The autoscaler: compares the demand for CPUs with the capacity there is, requests what is missing and releases what is idle. */
+/** The autoscaler: compares CPU demand with the capacity of the fleet, requests missing machines and releases idle ones. */
 class FleetSizing(
     private val cluster: Cluster,
     private val bootTimes: BootTimes,
     releases: MachineReleases,
     private val log: (String) -> Unit,
 ) {
-    /** CPUs that are in demand. */
+    /** Demand in CPUs, of services alone and of all jobs. */
     private class Demand(
         val services: Double,
         val all: Double,
     )
 
-    /** CPUs of the machines that are expected to last. */
+    /** CPUs of machines that are expected to last, by pricing terms. */
     private class Capacity(
         val ordinary: Double,
         val spot: Double,
     )
 
-    /** What a job requires of a machine, however much room there is. */
+    /** Requirements of a job for a machine apart from free capacity. */
     private data class Requirement(
         val types: Set<String>,
         val zone: String?,
@@ -37,25 +37,25 @@
     private val idleMachines = IdleMachines(cluster, releases)
     private var intentNumber = 0
 
-    /** Scale-out requests that are wanted; to be written as intents before they are carried out. */
-    val wantedIntents = ArrayDeque<ScaleOutIntent>()
+    /** Scale-out requests that must be recorded as intents in the store before they are carried out. */
+    val unrecordedIntents = ArrayDeque<ScaleOutIntent>()
 
-    /** The cloud has provisioned machines for [intent]. */
+    /** Resets the backoff of the offer that [intent] requested: the cloud has provisioned machines for it. */
     fun granted(intent: ScaleOutIntent) = offers.granted(intent)
 
-    /** The cloud had less capacity than [intent] asked for: the same is not requested again for a while. */
+    /** Backs off the offer that [intent] requested: the cloud had less capacity than requested. */
     fun refused(
         intent: ScaleOutIntent,
         nowMs: Long,
     ) = offers.refused(intent, nowMs)
 
-    /** [machine] was released: its capacity may be provisioned again. */
+    /** Ends the backoff of the offer that matches the released [machine]: its capacity can be provisioned again. */
     fun capacityFreed(machine: Machine) = offers.capacityFreed(machine)
 
-    /** The machine [id] is not this leader's any more. */
+    /** Forgets the idle time of the machine [id], which this leader no longer owns. */
     fun forget(id: String) = idleMachines.forget(id)
 
-    /** Requests the machines that are missing, or else releases an idle one. */
+    /** Requests missing machines, or releases one idle machine if none are missing. */
     fun resize(nowMs: Long) {
         val demand = demand()
         val capacity = capacity(nowMs)
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Of overdue machines all but a fraction counts as capacity: if the cloud is slow to boot, replacing each of them would provision
-     * without end.
+     * Overdue machines count as capacity except for a fraction that may be replaced: if all were replaced while the cloud is slow to boot
+     * machines, the fleet would grow without bound.
      */
     private fun capacity(nowMs: Long): Capacity {
         var ordinary = 0.0
@@ -108,7 +108,7 @@
         return nowMs - machine.origin.firstSeenAtMs > bootTimes.overdueAfterMs(machine.type, machine.zone, nowMs)
     }
 
-    /** Number of machines that are overdue to come up. */
+    /** Number of machines whose boot is overdue. */
     fun overdueCount(nowMs: Long): Int = cluster.machines.values.count { isOverdue(it, nowMs) }
 
     private fun requestCapacity(
@@ -120,11 +120,11 @@
         request(offer, maxOf(missingCpus, missingOrdinaryCpus), "short of ${missingCpus.toInt()} CPUs")
     }
 
-    /** Requests machines for a job that none could hold even if it were empty; false if there is no such job or no offer for it. */
+    /** Requests machines for a job that no current machine could host even if empty; false if there is no such job or no offer for it. */
     private fun requestForUnplaceableJob(nowMs: Long): Boolean {
         val job = unplaceableJob() ?: return false
-        val offer = offers.cheapest(nowMs) { mayHold(job, it.type, it.zone, it.spot) } ?: return false
-        request(offer, job.schedulableTasks * job.spec.cpus, "no machine can hold a task of ${job.id}")
+        val offer = offers.cheapest(nowMs) { canHost(job, it.type, it.zone, it.spot) } ?: return false
+        request(offer, job.schedulableTasks * job.spec.cpus, "no machine can host a task of ${job.id}")
         return true
     }
 
@@ -134,33 +134,33 @@
         reason: String,
     ) {
         val number = Math.ceil(cpus / offer.type.cpus).toInt().coerceIn(1, maxBatch())
-        wantedIntents.add(ScaleOutIntent("mf-${cluster.term}-${++intentNumber}", offer.type.name, offer.zone, offer.spot, number))
-        log("scale-out wanted: $number ${offer.type.name} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $reason")
+        unrecordedIntents.add(ScaleOutIntent("mf-${cluster.term}-${++intentNumber}", offer.type.name, offer.zone, offer.spot, number))
+        log("scale-out requested: $number ${offer.type.name} in ${offer.zone}${if (offer.spot) ", spot" else ""}: $reason")
     }
 
-    /** Machines that one request may ask for. */
+    /** Maximum number of machines in one request. */
     private fun maxBatch(): Int {
         val fractionOfFleet = (cluster.machines.size * FleetConstants.SCALE_OUT_BATCH_FRACTION).toInt()
         return maxOf(FleetConstants.MIN_SCALE_OUT_BATCH, fractionOfFleet)
             .coerceAtMost(minOf(FleetConstants.MAX_SCALE_OUT_BATCH, cluster.ownership.scaleOutHeadroom))
     }
 
-    private fun mayHold(
+    private fun canHost(
         job: Job,
         type: MachineType,
         zone: String,
         spot: Boolean,
     ) = type.name in job.compatibleTypes && (job.spec.zone == null || job.spec.zone == zone) && (job.spec.spot || !spot)
 
-    /** A job that no machine could hold even if it were empty, however many CPUs there are: its zone may have lost its last one. */
+    /** A job that no current machine could host even if empty, for example because its zone has lost its last machine; null if there is none. */
     private fun unplaceableJob(): Job? {
-        val served = HashSet<Requirement>()
+        val satisfied = HashSet<Requirement>()
         for (job in cluster.jobs.values) {
             if (job.cancelled || job.schedulableTasks == 0) continue
             val requirement = Requirement(job.compatibleTypes, job.spec.zone, job.spec.spot)
-            if (requirement in served) continue
-            if (cluster.machines.values.none { it.expectedToLast && !it.provisional && mayHold(job, it.type, it.zone, it.spot) }) return job
-            served.add(requirement)
+            if (requirement in satisfied) continue
+            if (cluster.machines.values.none { it.expectedToLast && !it.provisional && canHost(job, it.type, it.zone, it.spot) }) return job
+            satisfied.add(requirement)
         }
         return null
     }
--- a/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
@@ -4,45 +4,45 @@
 import mintfield.core.model.TaskState
 import mintfield.core.model.TaskStatus
 
-/** A task on a machine of this leader whose job another shard's leader schedules: it was started there before the machine changed its owner. */
+/** A task on a machine of this leader whose job another shard's leader schedules. It was started before the machine changed owner. */
 class ForeignTask(
     val spec: JobSpec,
     val status: TaskStatus,
 ) {
-    /** Whether it has ended, so that it takes no room any more. */
+    /** Whether the task has ended and no longer occupies capacity. */
     val ended: Boolean get() = status.state == TaskState.ENDED
 
-    /** Whether its leader wants it to stop. */
-    var stopWanted = false
+    /** Whether the leader of its job has requested that the task stop. */
+    var stopRequested = false
         private set
 
-    /** Steady milliseconds at which the worker was first told to stop it; 0 if it was not. */
+    /** Steady milliseconds at which the first stop command was sent to the worker; 0 if none was. */
     var stopSentAtMs = 0L
         private set
 
-    /** Whether its leader has recorded its end, so that the worker may forget it. */
-    var acknowledgeWanted = false
+    /** Whether the leader of its job has recorded its end, so that the worker may discard it. */
+    var acknowledgeRequested = false
         private set
 
-    /** Its leader wants it to stop. */
-    fun wantStop() {
-        stopWanted = true
+    /** Records that the leader of its job requests a stop. */
+    fun requestStop() {
+        stopRequested = true
     }
 
-    /** Its leader has recorded its end. */
-    fun wantAcknowledge() {
-        acknowledgeWanted = true
+    /** Records that the leader of its job has recorded its end, so that the worker can be sent an acknowledgement. */
+    fun requestAcknowledge() {
+        acknowledgeRequested = true
     }
 
-    /** The worker is told to stop it. */
+    /** Records that a stop command is sent to the worker; only the first call counts. */
     fun stopSent(nowMs: Long) {
         if (stopSentAtMs == 0L) stopSentAtMs = nowMs
     }
 
-    /** Takes over what is wanted of [earlier], the same attempt by an older heartbeat. */
-    internal fun carryOver(earlier: ForeignTask) {
-        stopWanted = earlier.stopWanted
-        acknowledgeWanted = earlier.acknowledgeWanted
+    /** Copies the requests from [earlier], the same attempt as seen in an older heartbeat. */
+    internal fun copyRequestsFrom(earlier: ForeignTask) {
+        stopRequested = earlier.stopRequested
+        acknowledgeRequested = earlier.acknowledgeRequested
         stopSentAtMs = earlier.stopSentAtMs
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/ForeignTasks.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ForeignTasks.kt
@@ -2,24 +2,24 @@
 
 import mintfield.core.model.TaskId
 
-/** The foreign tasks on one machine, by its newest heartbeat. */
+/** The foreign tasks on one machine according to its newest heartbeat. */
 class ForeignTasks {
     private val tasks = LinkedHashMap<TaskId, ForeignTask>()
 
-    /** Whether none takes room. */
+    /** Whether no foreign task occupies capacity: there is none, or all have ended. */
     val isEmpty: Boolean get() = tasks.values.all { it.ended }
 
-    /** A task that the worker was told to stop before [beforeMs] and that has not ended; null if there is none. */
-    fun notStopped(beforeMs: Long): ForeignTask? = tasks.values.firstOrNull { !it.ended && it.stopSentAtMs in 1 until beforeMs }
+    /** Returns a task that has not ended although a stop command was sent before [beforeMs], or null if there is none. */
+    fun findUnstopped(beforeMs: Long): ForeignTask? = tasks.values.firstOrNull { !it.ended && it.stopSentAtMs in 1 until beforeMs }
 
-    /** The foreign task [task], or null if the newest heartbeat does not show it. */
+    /** Returns the foreign task [task], or null if the newest heartbeat does not list it. */
     operator fun get(task: TaskId): ForeignTask? = tasks[task]
 
-    /** Replaces what was known by [found], which a newer heartbeat shows. What is wanted of a task that is still there stays wanted. */
+    /** Replaces all foreign tasks by [found], from a newer heartbeat. Requests to stop or acknowledge an attempt that is still listed are kept. */
     internal fun replace(found: List<ForeignTask>) {
         for (foreign in found) {
             val earlier = tasks[foreign.status.task] ?: continue
-            if (earlier.status.attempt == foreign.status.attempt) foreign.carryOver(earlier)
+            if (earlier.status.attempt == foreign.status.attempt) foreign.copyRequestsFrom(earlier)
         }
         tasks.clear()
         found.associateByTo(tasks) { it.status.task }
--- a/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
@@ -4,8 +4,8 @@
 import mintfield.core.model.Heartbeat
 
 /**
- * What the heartbeats of one machine have shown so far. Heartbeats are ordered by the worker's incarnation and then by their sequence
- * number within it, so that a late copy is not taken for a newer one. All times are steady milliseconds.
+ * State derived from the heartbeats of one machine. Heartbeats are ordered by the worker's incarnation and then by their sequence number
+ * within it, so that a late copy is not taken for a newer one. Times are steady milliseconds.
  */
 class HeartbeatRecord {
     /** The worker's incarnation; 0 before its first heartbeat. */
@@ -16,7 +16,7 @@
     var sequence = 0L
         private set
 
-    /** The highest term that the worker has seen, by its own account. */
+    /** The highest term that the worker has reported seeing. */
     var termSeen = 0L
         private set
 
@@ -24,33 +24,33 @@
     var latest: Heartbeat? = null
         private set
 
-    /** Where the worker takes direct commands. */
+    /** Network address at which the worker accepts direct commands; null if none is known. */
     var address: String? = null
         private set
 
-    /** When the newest heartbeat came, be it on its own or in the answer to a direct command. */
+    /** Time of the newest heartbeat, whether unprompted or in the response to a direct command. */
     var lastContactAtMs = Machine.NEVER
         private set
 
-    /** When the newest heartbeat came on its own: only such a one is answered, which renews the worker's lease. */
+    /** Time of the newest unprompted heartbeat. Only an unprompted heartbeat gets a response, which renews the worker's lease. */
     var lastUnpromptedAtMs = Machine.NEVER
         private set
 
-    /** When the cloud will reclaim the machine, if it has given notice. */
+    /** Time at which the cloud will reclaim the machine; null without a termination notice. */
     var terminationAtMs: Long? = null
         private set
 
-    /** Whether [heartbeat] is newer than all that were recorded. */
+    /** Whether [heartbeat] is newer than all recorded ones. */
     fun isSucceededBy(heartbeat: Heartbeat): Boolean =
         heartbeat.incarnation > incarnation || (heartbeat.incarnation == incarnation && heartbeat.sequence > sequence)
 
-    /** The worker has started incarnation [next]: its sequence numbers start anew. */
+    /** Records that the worker has started incarnation [next], whose sequence numbers start anew. */
     fun startIncarnation(next: Long) {
         incarnation = next
         sequence = 0
     }
 
-    /** Records [heartbeat], which [isSucceededBy] has accepted and whose incarnation has been started. */
+    /** Records [heartbeat]. Requires that [isSucceededBy] is true for it and that its incarnation has been started. */
     fun record(
         heartbeat: Heartbeat,
         nowMs: Long,
@@ -63,17 +63,17 @@
         terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * TimeUnits.MS_PER_SECOND).toLong() }
     }
 
-    /** A heartbeat came that was not an answer to a direct command. */
+    /** Records the time of a heartbeat that did not come in the response to a direct command. */
     fun recordUnprompted(nowMs: Long) {
         lastUnpromptedAtMs = nowMs
     }
 
-    /** The worker has shown a sign of life at [nowMs]. */
+    /** Records that the worker was in contact with the leader at [nowMs]. */
     fun recordContact(nowMs: Long) {
         lastContactAtMs = nowMs
     }
 
-    /** Discards the newest heartbeat, which a former owner's commands may have overtaken. */
+    /** Discards the newest heartbeat, which later commands of a former owner may have made obsolete. */
     fun discardLatest() {
         latest = null
     }
--- a/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
@@ -3,23 +3,23 @@
 import mintfield.core.Cluster
 import mintfield.core.constants.FleetConstants
 
-/** Since when machines have been idle, and which of them may be released for it. */
+/** Tracks how long machines have been idle and releases those that the demand does not need. */
 internal class IdleMachines(
     private val cluster: Cluster,
     private val releases: MachineReleases,
 ) {
-    /** Steady milliseconds by name of machine. */
+    /** Start of the idle time in steady milliseconds, by machine name. */
     private val idleSinceMs = HashMap<String, Long>()
 
-    /** The machine [id] is not this leader's any more. */
+    /** Forgets the idle time of the machine [id], which this leader no longer owns. */
     fun forget(id: String) {
         idleSinceMs.remove(id)
     }
 
-    /** All capacity is needed: no machine has been idle so far. */
+    /** Restarts the idle time of all machines; called when all capacity is needed. */
     fun clear() = idleSinceMs.clear()
 
-    /** Releases at most one machine that has been idle for long and has no more than the [spareCpus] that nothing needs. */
+    /** Releases at most one machine that has been idle beyond the limit and has no more than [spareCpus] CPUs, those in excess of demand. */
     fun releaseOne(
         nowMs: Long,
         spareCpus: Double,
--- a/src/main/kotlin/mintfield/core/fleet/ImageCache.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ImageCache.kt
@@ -2,30 +2,30 @@
 
 import mintfield.core.model.MachineType
 
-/** The container images on one machine, those that its tasks wait for, and a model of the worker's least-recently-used eviction. */
+/** Model of the container images on one machine, cached or being fetched, with the worker's least-recently-used eviction. */
 class ImageCache(
     private val type: MachineType,
 ) {
-    /** Sizes in GB by image; iterated in order of last use. */
+    /** Sizes in GB of the images on the machine; iterated from the least to the most recently used. */
     private val sizes = LinkedHashMap<String, Double>(INITIAL_CAPACITY, LOAD_FACTOR, true)
     private var totalGb = 0.0
 
-    /** Number of tasks here by the image that they need. Kept up to date as each scheduling round asks for it. */
+    /** Number of tasks here that need each image. Updated incrementally because each scheduling round reads it. */
     private val tasksByImage = HashMap<String, Int>()
 
-    /** Sizes in GB of images that tasks here wait for. */
+    /** Sizes in GB of the images that are being fetched for tasks here. */
     private val fetching = HashMap<String, Double>()
 
-    /** Images on the machine with their sizes in GB, the least recently used first. */
+    /** Sizes in GB of the images on the machine, the least recently used first. */
     val cached: Map<String, Double> get() = sizes
 
     /** Whether [image] is on the machine. */
     fun has(image: String): Boolean = sizes.containsKey(image)
 
-    /** Whether a task that needs [image] is planned or runs here, so that the image is there or under way. */
-    fun isAwaited(image: String): Boolean = tasksByImage.containsKey(image)
+    /** Whether a task that needs [image] is planned or runs here, so that the image is on the machine or being fetched. */
+    fun isNeeded(image: String): Boolean = tasksByImage.containsKey(image)
 
-    /** A task that needs [image], of [gb] GB, has been planned here. */
+    /** Adds a planned task that needs [image], of [gb] GB. */
     fun addTask(
         image: String,
         gb: Double,
@@ -34,15 +34,15 @@
         if (!has(image)) fetching[image] = gb
     }
 
-    /** A task that needed [image] is gone. */
+    /** Removes a task that needed [image]. */
     fun removeTask(image: String) {
-        // The task used it until now: reading it makes it the most recently used.
+        // The task used the image until now; the map lookup makes it the most recently used.
         sizes[image]
         tasksByImage.computeIfPresent(image) { _, tasks -> if (tasks > 1) tasks - 1 else null }
-        if (!isAwaited(image)) fetching.remove(image)
+        if (!isNeeded(image)) fetching.remove(image)
     }
 
-    /** Notes that [image], of [gb] GB, is on the machine, and drops the least recently used images as the worker would. */
+    /** Records that [image], of [gb] GB, is on the machine, and evicts the least recently used images as the worker would. */
     fun markPresent(
         image: String,
         gb: Double,
@@ -54,14 +54,14 @@
         val oldest = sizes.entries.iterator()
         while (totalGb > type.cacheGb && oldest.hasNext()) {
             val entry = oldest.next()
-            // An image that a task here needs is in use, however long ago the last heartbeat about it came.
-            if (entry.key == image || isAwaited(entry.key)) continue
+            // An image that a task here needs is in use, regardless of when a heartbeat last listed it.
+            if (entry.key == image || isNeeded(entry.key)) continue
             totalGb -= entry.value
             oldest.remove()
         }
     }
 
-    /** Seconds until [image], of [gb] GB, is on the machine, if all its fetches share its rate. */
+    /** Estimated seconds until [image], of [gb] GB, is on the machine, if all fetches share its bandwidth. */
     fun fetchS(
         image: String,
         gb: Double,
@@ -75,7 +75,7 @@
         const val INITIAL_CAPACITY = 16
         const val LOAD_FACTOR = 0.75f
 
-        /** Keeps the quotient finite for a type without a stated rate. */
+        /** Lower bound that keeps the estimate finite for a machine type without a stated fetch rate. */
         const val MIN_FETCH_GB_PER_S = 1e-6
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/ListedMachine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ListedMachine.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-/** A machine as an entry of the cloud's list describes it. */
+/** An entry of the cloud's list of machines. */
 data class ListedMachine(
     val id: String,
     val type: String,
@@ -8,11 +8,11 @@
     val spot: Boolean,
     val stage: MachineStage,
     /** Seconds since it was provisioned. */
-    val heldS: Double,
+    val ageS: Double,
 ) {
-    /** Whether the machine has broken down by itself. */
+    /** Whether the machine has failed without being released. */
     val hasFailed: Boolean get() = stage == MachineStage.FAILED
 
-    /** Whether the machine still boots. */
+    /** Whether the machine is still booting. */
     val isBooting: Boolean get() = stage == MachineStage.BOOTING
 }
--- a/src/main/kotlin/mintfield/core/fleet/Machine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Machine.kt
@@ -6,8 +6,8 @@
 import mintfield.core.model.MachineType
 
 /**
- * A provisioned machine as its leader knows it, with the attempts that occupy it. Each of its components owns one part of that state
- * and is changed through its own functions. Used on the leader's event loop only; times are steady milliseconds.
+ * The leader's state of one machine, with the attempts that occupy it. Each component owns one part of the state and is changed through
+ * its own functions. Used on the leader's event loop only; times are steady milliseconds.
  */
 class Machine(
     val id: String,
@@ -15,36 +15,36 @@
     val zone: String,
     val spot: Boolean,
 ) {
-    /** The stage of its life. */
+    /** Current stage of the life cycle; changed by [moveTo] only. */
     var state = MachineState.PROVISIONING
         private set
 
-    /** When [state] last changed. */
+    /** Time of the last change of [state]. */
     var stateSinceMs = 0L
         private set
 
-    /** How the machine became known. */
+    /** How and when the machine became known to this leader. */
     val origin = MachineOrigin()
 
-    /** What its heartbeats have shown. */
+    /** State derived from the heartbeats of its worker. */
     val heartbeats = HeartbeatRecord()
 
-    /** The lease of its worker, and the terms that fence commands to it. */
+    /** Lease of its worker, and the fencing terms of commands to it. */
     val lease = WorkerLease()
 
-    /** Whether responses and commands reach it. */
+    /** Failure detector for the direction from the leader to the machine. */
     val reachability = Reachability()
 
-    /** The route of direct commands to it. */
+    /** State of direct calls to its worker. */
     val directRoute = DirectRoute()
 
-    /** What takes room on it. */
+    /** Capacity that attempts and foreign tasks occupy. */
     val occupancy = Occupancy(type)
 
-    /** The images on it. */
+    /** Container images on the machine. */
     val images = ImageCache(type)
 
-    /** Failures of tasks on it, and the quarantine that follows from them. */
+    /** Failures of tasks on the machine, and the resulting backoff and quarantine. */
     val failureRecord = FailureRecord()
 
     /** See [HeartbeatRecord.incarnation]. */
@@ -80,30 +80,30 @@
     /** See [Occupancy.inUse]. */
     val inUse: Boolean get() = occupancy.inUse
 
-    /** Whether it is, or will most likely be, of use for a while. */
+    /** Whether the machine counts as capacity: up or booting, without termination notice and not unreachable. */
     val expectedToLast: Boolean
         get() =
             (state == MachineState.UP || state == MachineState.PROVISIONING) &&
                 heartbeats.terminationAtMs == null &&
                 reachability.state != ReachabilityState.UNREACHABLE
 
-    /** Moves the machine to [next]; the only place where its state changes. Throws [IllegalStateException] if that move is not allowed. */
+    /** Changes [state] to [next]. Throws [IllegalStateException] if the transition is not allowed. */
     fun moveTo(
         next: MachineState,
         nowMs: Long,
     ) {
         if (next == state) return
-        check(state.mayBecome(next)) { "$id: $state to $next" }
+        check(state.mayBecome(next)) { "machine $id: transition from $state to $next is not allowed" }
         state = next
         stateSinceMs = nowMs
     }
 
-    /** Assigns room to [attempt]. */
+    /** Reserves capacity for [attempt]; does nothing if that is done already. */
     fun occupy(attempt: Attempt) {
         if (occupancy.add(attempt)) images.addTask(attempt.job.spec.image, attempt.job.spec.imageGb)
     }
 
-    /** Frees the room of [attempt]. */
+    /** Frees the capacity of [attempt]; does nothing if it has none here. */
     fun vacate(attempt: Attempt) {
         if (occupancy.remove(attempt)) images.removeTask(attempt.job.spec.image)
     }
@@ -111,7 +111,7 @@
     /** Number of attempts here in [state]. */
     fun count(state: AttemptState): Int = occupancy.count(state)
 
-    /** Whether a task may be planned here at [nowMs]: heartbeats must be newer than [freshMs], and nothing may speak against it. */
+    /** Whether tasks may be planned here at [nowMs]; among other things the last unprompted heartbeat must be less than [freshMs] old. */
     fun acceptsTasks(
         nowMs: Long,
         freshMs: Long,
@@ -120,14 +120,14 @@
             heartbeats.terminationAtMs == null &&
             termSeen >= lease.requiredTerm &&
             reachability.isReachable &&
-            !isHeldBack(nowMs) &&
+            !isBackedOffOrQuarantined(nowMs) &&
             nowMs - heartbeats.lastUnpromptedAtMs < freshMs
 
-    private fun isHeldBack(nowMs: Long) = nowMs < failureRecord.backoffUntilMs || nowMs < failureRecord.quarantinedUntilMs
+    private fun isBackedOffOrQuarantined(nowMs: Long) = nowMs < failureRecord.backoffUntilMs || nowMs < failureRecord.quarantinedUntilMs
 
-    /** Constants of machines. */
+    /** Time constants of machines. */
     companion object {
-        /** A moment before all others that leaves room for subtraction. */
+        /** A time before all others; differences to it do not overflow. */
         const val NEVER = Long.MIN_VALUE / 4
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
@@ -1,52 +1,52 @@
 package mintfield.core.fleet
 
-/** How a machine became known: by the cloud's list, from a former owner, or from a plan that names it. Times are steady milliseconds. */
+/** How a machine became known: from the cloud's list, a former owner, or a recorded plan. Times are steady milliseconds. */
 class MachineOrigin {
-    /** Known by name only, from a plan or the assignment table: type, zone and kind are guesses until a heartbeat or the list gives them. */
+    /** Whether only the name is known, from a plan or the assignment table. Type, zone and spot are guesses until a heartbeat or the list has them. */
     var provisional = false
         private set
 
-    /** When the machine was provisioned, or otherwise when this leader learned of it. */
+    /** Time at which the machine was provisioned or, if that is unknown, became known to this leader. */
     var firstSeenAtMs = 0L
         private set
 
-    /** When the cloud's list first had it. */
+    /** Time at which the cloud's list first contained the machine; [Machine.NEVER] if it has not yet. */
     var firstListedAtMs = Machine.NEVER
         private set
 
-    /** When the cloud's list last had it. */
+    /** Time at which the cloud's list last contained the machine; [Machine.NEVER] if it has not yet. */
     var listedAtMs = Machine.NEVER
         private set
 
-    /** When it was adopted from another owner: it then most likely has tasks, and so must send a heartbeat soon. */
+    /** Time of the adoption from another owner. An adopted machine most likely has tasks, so it must send a heartbeat soon. */
     var adoptedAtMs = Machine.NEVER
         private set
 
-    /** Whether it was adopted from another owner and is not known to have booted since. */
+    /** Whether the machine was adopted from another owner and was not seen booting since. */
     val isAdopted: Boolean get() = adoptedAtMs != Machine.NEVER
 
-    /** Type, zone and kind of the machine are guesses. */
+    /** Marks type, zone and spot of the machine as guesses. */
     fun markProvisional() {
         provisional = true
     }
 
-    /** The machine exists since [atMs] as far as is known. */
+    /** Sets the time since which the machine is known to exist. */
     fun seenSince(atMs: Long) {
         firstSeenAtMs = atMs
     }
 
-    /** A page of the cloud's list has the machine. */
+    /** Records that a page of the cloud's list contains the machine. */
     fun listed(nowMs: Long) {
         if (firstListedAtMs == Machine.NEVER) firstListedAtMs = nowMs
         listedAtMs = nowMs
     }
 
-    /** The machine was adopted at [atMs]. */
+    /** Records the adoption from another owner at [atMs]; [Machine.NEVER] for none. */
     fun adopted(atMs: Long) {
         adoptedAtMs = atMs
     }
 
-    /** The machine still boots, so nothing of a former owner can be on it. */
+    /** Clears the adoption of a machine that is still booting: no task of a former owner can be on it. */
     fun clearAdoption() {
         adoptedAtMs = Machine.NEVER
     }
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -5,19 +5,19 @@
 import mintfield.core.jobs.AttemptState
 import mintfield.core.model.MachineType
 
-/** Adds machines to the cluster, describes them anew, and follows the changes of their owner. */
+/** Adds machines to the cluster, replaces their descriptions, and tracks changes of their owner. */
 class MachineRegistry(
     private val cluster: Cluster,
     private val released: ReleasedMachines,
 ) {
-    /** Steady milliseconds of their adoption, by name, of machines that nothing has described yet. */
+    /** Adoption times in steady milliseconds of machines without a description yet, by machine name. */
     private val adoptedAtMs = HashMap<String, Long>()
 
     /**
-     * The machine [id], added by this description if it is not known. Null if it cannot be this leader's: it is released, another
-     * owner's, or of a type that the catalogue does not have.
+     * Returns the machine [id], and adds it with the given description if it is unknown. Null if it cannot be added: it has been released,
+     * has another owner, or its type is not in the catalogue.
      */
-    fun machine(
+    fun getOrAdd(
         id: String,
         typeName: String,
         zone: String,
@@ -42,7 +42,7 @@
         return machine
     }
 
-    /** Adds a machine of another shard on which a recorded plan has tasks; its [type] is a guess that nothing relies on. */
+    /** Adds a machine of another shard on which a recorded plan has tasks; [type] is a guess and is not relied on. */
     fun addOwnedElsewhere(
         id: String,
         type: MachineType,
@@ -57,7 +57,7 @@
     }
 
     /**
-     * The machine [id] is another shard's from now on. Tasks that are planned there stay so until its owner has answered for them.
+     * Hands the machine [id] over to another shard. Tasks that are planned there remain until the new owner has reported on them.
      * Returns whether the machine was known.
      */
     fun handOver(
@@ -70,8 +70,8 @@
     }
 
     /**
-     * The machine [id] is this leader's from now on. Its former owner may have renewed its lease until this moment, and the former
-     * owner's starts are void only once the worker has seen this leader's token.
+     * Adopts the machine [id] from another shard. The former owner may have renewed the lease until now, and its start commands can still
+     * take effect until the worker has seen this leader's fencing token.
      */
     fun adopt(
         id: String,
@@ -92,32 +92,32 @@
     }
 
     /**
-     * The assignment table says that the machine [id] is this leader's, and nothing has described it yet. It counts as one in use until
-     * the cloud's list or a heartbeat shows more; if neither comes, it is released, which proves that it is gone.
+     * Adds the machine [id], which the assignment table assigns to this leader and which has no description yet. It counts as in use until
+     * the cloud's list or a heartbeat describes it; if neither does, it is released, which proves that it has been terminated.
      */
-    fun assume(
+    fun addProvisional(
         id: String,
         nowMs: Long,
     ) {
         val type = cluster.types.values.firstOrNull() ?: return
         val zone = type.zones.firstOrNull() ?: return
-        val machine = machine(id, type.name, zone, spot = false, nowMs) ?: return
+        val machine = getOrAdd(id, type.name, zone, spot = false, nowMs) ?: return
         machine.origin.markProvisional()
         machine.origin.adopted(nowMs)
     }
 
-    /** The machine [id], which this leader has provisioned by [intent], has become its own. Without the intent the list will describe it. */
+    /** Adds the claimed machine [id], which this leader has provisioned for [intent]. With a null intent the machine is added once the list has it. */
     fun claimed(
         id: String,
         intent: ScaleOutIntent?,
         nowMs: Long,
     ) {
-        if (intent != null) machine(id, intent.type, intent.zone, intent.spot, nowMs)
+        if (intent != null) getOrAdd(id, intent.type, intent.zone, intent.spot, nowMs)
     }
 
     /**
-     * Replaces [old], whose description was a guess, by a machine of the true description with the same attempts. Returns [old] if it
-     * has to stay as it is, null if it cannot be this leader's.
+     * Replaces [old], whose description was a guess, by a machine with the actual description and the same attempts. Returns [old] if it
+     * cannot be replaced, null if it cannot be added as a machine of this leader.
      */
     fun redescribe(
         old: Machine,
@@ -128,7 +128,7 @@
     ): Machine? {
         if (typeName !in cluster.types || old.state == MachineState.TERMINATING || !cluster.ownership.owns(old.id)) return old
         cluster.machines.remove(old.id)
-        val machine = machine(old.id, typeName, zone, spot, nowMs) ?: return null
+        val machine = getOrAdd(old.id, typeName, zone, spot, nowMs) ?: return null
         machine.origin.adopted(old.origin.adoptedAtMs)
         machine.lease.copyFrom(old.lease)
         moveAttempts(old, machine, nowMs)
--- a/src/main/kotlin/mintfield/core/fleet/MachineReleases.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineReleases.kt
@@ -2,13 +2,13 @@
 
 import mintfield.core.Cluster
 
-/** Follows machines from the decision to release them until the cloud has confirmed that they are gone. */
+/** Tracks machines from the decision to release them until the cloud has confirmed the release. */
 class MachineReleases(
     private val cluster: Cluster,
     private val released: ReleasedMachines,
     private val log: (String) -> Unit,
 ) {
-    /** Decides that [machine] is to be released, for [reason]; nothing changes if that is decided already. */
+    /** Schedules the release of [machine] and logs [reason]; does nothing if it is already being released. */
     fun schedule(
         machine: Machine,
         nowMs: Long,
@@ -20,7 +20,7 @@
         machine.moveTo(MachineState.RELEASING, nowMs)
     }
 
-    /** Names of machines that the cloud is to be asked to release now; from here on they count as asked for. */
+    /** Returns the machines to name in the next release call, and marks them as terminating. */
     fun nextBatch(nowMs: Long): List<String> {
         val batch =
             cluster.machines.values
@@ -30,7 +30,7 @@
         return batch.map { it.id }
     }
 
-    /** The cloud has not carried out the release of [ids]: it is to be asked again. */
+    /** Handles a failed release call for [ids]: the machines become due for release again. */
     fun failed(
         ids: List<String>,
         nowMs: Long,
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The cloud has confirmed that the machine [id] and everything on it are gone. Returns the machine, or null if it is not known. */
+    /** Handles the cloud's confirmation that the machine [id] is released and everything on it has ended. Returns the machine, null if unknown. */
     fun confirmed(
         id: String,
         nowMs: Long,
@@ -54,7 +54,7 @@
     }
 
     private companion object {
-        /** Machines in one release call; the protocol's bound. */
+        /** Maximum number of machines in one release call, set by the cloud protocol. */
         const val MAX_BATCH = 100
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineStage.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineStage.kt
@@ -1,16 +1,16 @@
 package mintfield.core.fleet
 
-/** The stage of a machine in the cloud's list. */
+/** Life-cycle stage of a machine according to the cloud's list. */
 enum class MachineStage {
-    /** Provisioned, but not up yet. */
+    /** Provisioned and still booting. */
     BOOTING,
 
-    /** Up. */
+    /** Booted and running. */
     RUNNING,
 
-    /** It stopped by itself, and stays listed until it is released. */
+    /** Stopped without being released; it stays listed until it is released. */
     FAILED,
 
-    /** A stage that this program does not know. */
+    /** A stage that this version does not recognize. */
     UNKNOWN,
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineState.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineState.kt
@@ -1,26 +1,26 @@
 package mintfield.core.fleet
 
-/** The stages of a machine's life as its leader knows them. */
+/** Life-cycle states of a machine as seen by its leader. */
 enum class MachineState {
     /** Provisioned or known by name only; its worker has sent this leader no heartbeat. */
     PROVISIONING,
 
-    /** Its worker sends heartbeats. */
+    /** Its worker sends heartbeats to this leader. */
     UP,
 
-    /** Its heartbeats have stopped. It gets no new tasks; what it holds stays assigned to it until there is proof that it is gone. */
+    /** No heartbeat within the timeout. It gets no new tasks; its attempts stay assigned to it until there is proof that they have ended. */
     UNRESPONSIVE,
 
-    /** To be released: it gets no new tasks. */
+    /** Due for release: it gets no new tasks. */
     RELEASING,
 
-    /** The cloud has been asked to release it; the answer is outstanding. */
+    /** The release call has been issued; the response is pending. */
     TERMINATING,
 
-    /** The cloud has confirmed that it and everything on it are gone. */
+    /** The cloud has confirmed the release: everything on the machine has ended. */
     TERMINATED,
 
-    /** Another shard owns it. What is planned there stays so until its owner has answered what became of it. */
+    /** Another shard owns it. Attempts that are planned there remain until the owner has reported their outcome. */
     OWNED_ELSEWHERE,
     ;
 
--- a/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineWatch.kt
@@ -8,8 +8,8 @@
 import mintfield.core.jobs.AttemptState
 
 /**
- * Applies the time limits of machines: heartbeat timeouts, leases that have certainly expired, and the release of machines that never
- * come up, stay silent, cannot be reached or fail their tasks.
+ * Applies the time limits of machines: heartbeat timeouts, lease expiry, and the release of machines that do not boot, stay unresponsive,
+ * are unreachable or fail their tasks.
  */
 class MachineWatch(
     private val cluster: Cluster,
@@ -18,7 +18,7 @@
 ) {
     private var startedAtMs = Machine.NEVER
 
-    /** Checks all machines. */
+    /** Applies all time limits to all machines. */
     fun check(nowMs: Long) {
         if (startedAtMs == Machine.NEVER) startedAtMs = nowMs
         val unresponsiveZones = unresponsiveZones(nowMs)
@@ -27,7 +27,7 @@
             if (machine.state == MachineState.UP && releasesUnreachable) checkReachability(machine, nowMs)
             when (machine.state) {
                 MachineState.PROVISIONING -> checkProvisioning(machine, nowMs, machine.zone in unresponsiveZones)
-                MachineState.UP -> if (isSilent(machine, nowMs)) machine.moveTo(MachineState.UNRESPONSIVE, nowMs)
+                MachineState.UP -> if (isHeartbeatOverdue(machine, nowMs)) machine.moveTo(MachineState.UNRESPONSIVE, nowMs)
                 MachineState.UNRESPONSIVE -> checkUnresponsive(machine, nowMs, machine.zone in unresponsiveZones)
                 else -> {}
             }
@@ -36,7 +36,7 @@
         }
     }
 
-    private fun isSilent(
+    private fun isHeartbeatOverdue(
         machine: Machine,
         nowMs: Long,
     ) = nowMs - machine.lastContactAtMs > cluster.timings.heartbeatTimeoutMs
@@ -44,27 +44,27 @@
     private fun isFaulty(failures: FailureRecord) =
         failures.attributedFailures >= PlacementConstants.QUARANTINE_FAILURES || failures.suspectJobs >= PlacementConstants.RELEASE_SUSPECT_JOBS
 
-    /** Zones most of whose machines are silent, as after a partition. Machines that have never been up do not count. */
+    /** Zones in which most machines are unresponsive, as after a partition. Machines that have never been up do not count. */
     private fun unresponsiveZones(nowMs: Long): Set<String> {
-        val silent = HashMap<String, Int>()
+        val unresponsive = HashMap<String, Int>()
         val all = HashMap<String, Int>()
         for (machine in cluster.machines.values) {
             val neverUp = machine.lastContactAtMs == Machine.NEVER && !machine.occupancy.hasAttempts
             if (machine.state == MachineState.OWNED_ELSEWHERE || neverUp) continue
             all.merge(machine.zone, 1, Int::plus)
-            if (isSilent(machine, nowMs)) silent.merge(machine.zone, 1, Int::plus)
+            if (isHeartbeatOverdue(machine, nowMs)) unresponsive.merge(machine.zone, 1, Int::plus)
         }
-        return silent.keys.filterTo(HashSet()) { silent.getValue(it) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * all.getValue(it) }
+        return unresponsive.keys.filterTo(HashSet()) { unresponsive.getValue(it) > FleetConstants.UNRESPONSIVE_ZONE_FRACTION * all.getValue(it) }
     }
 
-    /** Whether unreachable machines may be released: if many are unreachable at once, the network is at fault and not the machines. */
+    /** Whether unreachable machines may be released: if many are unreachable at once, the cause is the network and not the machines. */
     private fun releasesUnreachable(): Boolean {
         val unreachable = cluster.machines.values.count { it.state == MachineState.UP && it.reachability.state == ReachabilityState.UNREACHABLE }
         val fractionOfFleet = (cluster.machines.size * WorkerConstants.MAX_BLAMED_UNREACHABLE_FRACTION).toInt()
         return unreachable <= maxOf(WorkerConstants.MAX_BLAMED_UNREACHABLE, fractionOfFleet)
     }
 
-    /** Releases a machine that sends heartbeats but cannot be reached, if that lasts or if it has tasks that must stop. */
+    /** Releases a machine that sends heartbeats but is unreachable for too long, or has not stopped a task within the limit. */
     private fun checkReachability(
         machine: Machine,
         nowMs: Long,
@@ -74,11 +74,11 @@
             return releases.schedule(machine, nowMs, "unreachable for ${seconds(nowMs - reachability.sinceMs)} s")
         }
         val limitMs = cluster.settings.cancelS * TimeUnits.MS_PER_SECOND * WorkerConstants.CANCEL_RELEASE_FRACTION
-        val foreign = if (machine.occupancy.hasForeignTasks) machine.foreignTasks.notStopped(nowMs - limitMs.toLong()) else null
-        if (foreign != null) return releases.schedule(machine, nowMs, "${foreign.status.task} of another shard does not stop there")
+        val foreign = if (machine.occupancy.hasForeignTasks) machine.foreignTasks.findUnstopped(nowMs - limitMs.toLong()) else null
+        if (foreign != null) return releases.schedule(machine, nowMs, "${foreign.status.task} of another shard has not stopped within the limit")
         if (machine.count(AttemptState.STOPPING) == 0) return
         val attempt = machine.attempts.firstOrNull { it.state == AttemptState.STOPPING && it.job.cancelled && nowMs - it.changedAtMs > limitMs }
-        if (attempt != null) releases.schedule(machine, nowMs, "${attempt.job.spec.id}/${attempt.index} is cancelled and does not stop there")
+        if (attempt != null) releases.schedule(machine, nowMs, "${attempt.job.spec.id}/${attempt.index} is cancelled and has not stopped within the limit")
     }
 
     private fun checkProvisioning(
@@ -87,16 +87,16 @@
         zoneUnresponsive: Boolean,
     ) {
         if (machine.occupancy.hasAttempts || machine.origin.isAdopted) {
-            // What a plan names has been up. If it died before the failover, only its release proves that its tasks are gone.
-            val silentMs = nowMs - maxOf(machine.origin.firstSeenAtMs, startedAtMs)
-            if (silentMs > firstHeartbeatLimitMs(machine, zoneUnresponsive)) {
+            // A machine that a plan names has been up. If it failed before the failover, only its release proves that its tasks have ended.
+            val waitedMs = nowMs - maxOf(machine.origin.firstSeenAtMs, startedAtMs)
+            if (waitedMs > firstHeartbeatLimitMs(machine, zoneUnresponsive)) {
                 releases.schedule(machine, nowMs, "in use, but no heartbeat has reached this leader")
             }
             return
         }
         val bootLimitMs = machine.type.bootS * TimeUnits.MS_PER_SECOND * FleetConstants.BOOT_TIMEOUT_FACTOR + FleetConstants.BOOT_TIMEOUT_SLACK_MS
         if (nowMs - machine.origin.firstSeenAtMs > bootLimitMs && nowMs - startedAtMs > FleetConstants.BOOT_TIMEOUT_SLACK_MS) {
-            releases.schedule(machine, nowMs, "never came up")
+            releases.schedule(machine, nowMs, "no heartbeat within the boot timeout")
         }
     }
 
@@ -108,7 +108,7 @@
         when {
             machine.provisional && machine.occupancy.hasAttempts -> cluster.timings.unlistedReleaseMs
             zoneUnresponsive -> FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS
-            machine.origin.isAdopted -> maxOf(cluster.timings.replayedReleaseMs, listing.lagMs())
+            machine.origin.isAdopted -> maxOf(cluster.timings.replayedReleaseMs, listing.maxLagMs())
             else -> cluster.timings.replayedReleaseMs
         }
 
@@ -118,18 +118,18 @@
         zoneUnresponsive: Boolean,
     ) {
         val terminationAtMs = machine.heartbeats.terminationAtMs
-        val silentMs = nowMs - machine.lastContactAtMs
+        val unresponsiveMs = nowMs - machine.lastContactAtMs
         val limitMs = if (zoneUnresponsive) FleetConstants.UNRESPONSIVE_ZONE_RELEASE_MS else cluster.timings.unresponsiveReleaseMs
         when {
             terminationAtMs != null && nowMs > terminationAtMs + cluster.timings.heartbeatTimeoutMs ->
-                releases.schedule(machine, nowMs, "termination notice ran out, unresponsive")
-            silentMs > limitMs -> releases.schedule(machine, nowMs, "unresponsive for ${seconds(silentMs)} s")
+                releases.schedule(machine, nowMs, "termination notice expired, unresponsive")
+            unresponsiveMs > limitMs -> releases.schedule(machine, nowMs, "unresponsive for ${seconds(unresponsiveMs)} s")
         }
     }
 
     /**
-     * Releases the attempts on [machine] if its lease has expired. They were planned in the incarnation that ended with the lease: a
-     * start that is still under way names that incarnation and will be refused.
+     * Releases the attempts on [machine] if its lease has expired. They were planned for the incarnation that ended with the lease: a start
+     * command that is still in flight names that incarnation and will be refused.
      */
     private fun checkLease(
         machine: Machine,
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Whether the lease that [machine] had from this leader has certainly expired: the worker has seen a term of this leader, so nobody
-     * else can have renewed its lease since, and the last answer that may have renewed it is longer ago than a lease can last.
+     * Whether the lease that this leader granted to [machine] is known to have expired: the worker has seen a term of this leader, so no other
+     * leader can have renewed the lease since, and the last response that may have renewed it is older than the longest lease duration.
      */
     fun leaseExpired(
         machine: Machine,
--- a/src/main/kotlin/mintfield/core/fleet/Occupancy.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Occupancy.kt
@@ -6,8 +6,8 @@
 import mintfield.core.model.Shape
 
 /**
- * What takes room on one machine: attempts that this leader has planned there, and foreign tasks. Sums and counts are kept up to date
- * with each change, as each scheduling round asks for them.
+ * The capacity of one machine that is occupied by attempts of this leader and by foreign tasks. Sums and counts are updated with each
+ * change because each scheduling round reads them.
  */
 class Occupancy(
     private val type: MachineType,
@@ -18,17 +18,17 @@
     private var plannedGpus = 0.0
     private var plannedMemoryGb = 0.0
 
-    /** CPUs of foreign tasks that have not ended. Kept here, as each round reads it for each machine. */
+    /** CPUs of foreign tasks that have not ended. Kept as a field because each round reads it for each machine. */
     var foreignCpus = 0.0
         private set
     private var foreignGpus = 0.0
     private var foreignMemoryGb = 0.0
 
-    /** Whether the newest heartbeat shows foreign tasks, ended or not. */
+    /** Whether the newest heartbeat lists foreign tasks, ended or not. */
     var hasForeignTasks = false
         private set
 
-    /** Number of [attempts]; a field of its own, as each tick reads it for each machine. */
+    /** Number of [attempts]. Kept as a field because each tick reads it for each machine. */
     private var plannedCount = 0
 
     /** Whether there are any [attempts]. */
@@ -40,30 +40,30 @@
     /** Tasks on the machine whose jobs another shard's leader schedules. */
     val foreignTasks = ForeignTasks()
 
-    /** CPUs that replicas of services take. */
+    /** CPUs that replicas of services occupy. */
     var serviceCpus = 0.0
         private set
 
     /**
-     * Whether the newest heartbeat agreed with what is planned and left nothing to command. It stays so until an attempt here changes
-     * or a heartbeat brings another list of tasks.
+     * Whether the newest heartbeat matches the planned attempts, so that no command is needed. Reset when an attempt here changes or a
+     * heartbeat has a different list of tasks.
      */
     var reconciled = false
         private set
 
-    /** CPUs that nothing takes. */
+    /** Unoccupied CPUs. */
     val freeCpus: Double get() = type.cpus - plannedCpus - foreignCpus
 
-    /** GPUs that nothing takes. */
+    /** Unoccupied GPUs. */
     val freeGpus: Double get() = type.gpus - plannedGpus - foreignGpus
 
-    /** GB of memory that nothing takes. */
+    /** Unoccupied memory in GB. */
     val freeMemoryGb: Double get() = type.memoryGb - plannedMemoryGb - foreignMemoryGb
 
-    /** Whether any task takes room here. */
+    /** Whether an attempt or a foreign task that has not ended occupies the machine. */
     val inUse: Boolean get() = hasAttempts || !foreignTasks.isEmpty
 
-    /** Adds [attempt]; false if it is there already. */
+    /** Adds [attempt]; returns false if it was added before. */
     fun add(attempt: Attempt): Boolean {
         if (!planned.add(attempt)) return false
         plannedCount++
@@ -77,7 +77,7 @@
         return true
     }
 
-    /** Removes [attempt]; false if it is not there. */
+    /** Removes [attempt]; returns false if it is not here. */
     fun remove(attempt: Attempt): Boolean {
         if (!planned.remove(attempt)) return false
         plannedCount--
@@ -95,7 +95,7 @@
         return true
     }
 
-    /** Sets the sums to exactly 0, which subtraction of fractions may miss. */
+    /** Sets the sums to exactly 0, which subtraction of fractions may not reach because of rounding errors. */
     private fun clearSums() {
         serviceCpus = 0.0
         plannedCpus = 0.0
@@ -103,7 +103,7 @@
         plannedMemoryGb = 0.0
     }
 
-    /** Replaces the foreign tasks by [found], which a newer heartbeat shows. */
+    /** Replaces the foreign tasks by [found], from a newer heartbeat. */
     fun replaceForeignTasks(found: List<ForeignTask>) {
         if (found.isEmpty() && !hasForeignTasks) return
         foreignTasks.replace(found)
@@ -114,7 +114,7 @@
         foreignMemoryGb = running.sumOf { it.spec.memoryGb }
     }
 
-    /** An attempt here changes its state. */
+    /** Updates the counts when an attempt here changes its state. */
     fun stateChanged(
         from: AttemptState,
         to: AttemptState,
@@ -127,16 +127,16 @@
     /** Number of attempts here in [state]. */
     fun count(state: AttemptState): Int = countByState[state.ordinal]
 
-    /** Whether there is room for a task that needs [cpus], [gpus] and [memoryGb]. */
-    fun hasRoomFor(
+    /** Whether the free capacity suffices for a task that needs [cpus], [gpus] and [memoryGb]. */
+    fun hasCapacityFor(
         cpus: Double,
         gpus: Double,
         memoryGb: Double,
     ): Boolean = cpus <= freeCpus + EPSILON && gpus <= freeGpus + EPSILON && memoryGb <= freeMemoryGb + EPSILON
 
-    /** The newest heartbeat agrees with what is planned, or no longer does. */
-    fun markReconciled(agrees: Boolean) {
-        reconciled = agrees
+    /** Sets whether the newest heartbeat [matches] the planned attempts. */
+    fun markReconciled(matches: Boolean) {
+        reconciled = matches
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/core/fleet/Reachability.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Reachability.kt
@@ -6,31 +6,31 @@
 
 /**
  * A failure detector for the direction from the leader to one machine. In an asymmetric partition a machine's heartbeats arrive but no
- * response reaches it: it looks alive, is assigned tasks, starts none of them and loses those that it has with each lease. This shows by
- * what its heartbeats lack: the term and the starts of the last response, or a lease that expired although each heartbeat was answered.
+ * response reaches it: it appears alive and is assigned tasks, but starts none of them and loses its running tasks whenever its lease expires.
+ * Evidence is a heartbeat without the term and the starts of the last response, or a lease that expired although each heartbeat got a response.
  */
 class Reachability {
-    /** The verdict. */
+    /** Current result of the detector. */
     var state = ReachabilityState.REACHABLE
         private set
 
-    /** Steady milliseconds at which the machine last became unreachable. */
+    /** Steady milliseconds at which the machine last became unreachable; 0 if it never did. */
     var sinceMs = 0L
         private set
 
-    /** How often the machine has become unreachable; each time makes the pause after it longer. */
+    /** Number of times the machine has become unreachable; each makes the following pause longer. */
     var episodes = 0
         private set
 
-    private var answeredTerm = NO_ANSWER
-    private var answeredStarts: List<Attempt> = emptyList()
+    private var lastResponseTerm = NO_RESPONSE
+    private var lastResponseStarts: List<Attempt> = emptyList()
     private var incarnationSinceMs = 0L
-    private var missed = 0
+    private var missedResponses = 0
 
-    /** Whether nothing speaks against it. */
+    /** Whether responses and commands are assumed to arrive. */
     val isReachable: Boolean get() = state == ReachabilityState.REACHABLE
 
-    /** The only place where the state changes; true if it did. */
+    /** Changes the state to [next]; returns whether it differs from the previous one. All state changes use this function. */
     private fun moveTo(
         next: ReachabilityState,
         nowMs: Long,
@@ -44,18 +44,18 @@
         return true
     }
 
-    /** A heartbeat was answered with [term] and the starts of [attempts]. */
-    fun recordAnswer(
+    /** Records a response to a heartbeat with [term] and the starts of [attempts]. */
+    fun recordResponse(
         term: Long,
         attempts: List<Attempt>,
     ) {
-        answeredTerm = term
-        answeredStarts = attempts
+        lastResponseTerm = term
+        lastResponseStarts = attempts
     }
 
     /**
-     * Takes in [heartbeat], which came on its own and is newer than those that [known] has recorded. [leaseMs] is the length of a
-     * worker's lease. Returns whether the state has changed.
+     * Evaluates the unprompted [heartbeat], which is newer than those recorded in [known]. [leaseMs] is the length of a worker's lease.
+     * Returns whether the state has changed.
      */
     fun onHeartbeat(
         known: HeartbeatRecord,
@@ -63,19 +63,19 @@
         leaseMs: Long,
         nowMs: Long,
     ): Boolean {
-        val term = answeredTerm
-        val starts = answeredStarts
-        answeredTerm = NO_ANSWER
-        answeredStarts = emptyList()
+        val term = lastResponseTerm
+        val starts = lastResponseStarts
+        lastResponseTerm = NO_RESPONSE
+        lastResponseStarts = emptyList()
         return when {
-            heartbeat.incarnation != known.incarnation -> onNewIncarnation(known, term != NO_ANSWER, leaseMs, nowMs)
-            term == NO_ANSWER -> false
-            heartbeat.termSeen < term || !showsAnyOf(starts, heartbeat) -> miss(1, nowMs)
+            heartbeat.incarnation != known.incarnation -> onNewIncarnation(known, term != NO_RESPONSE, leaseMs, nowMs)
+            term == NO_RESPONSE -> false
+            heartbeat.termSeen < term || !showsAnyOf(starts, heartbeat) -> recordMiss(1, nowMs)
             else -> (starts.isNotEmpty() || provesDelivery(known, heartbeat, leaseMs, nowMs)) && confirmDelivery(nowMs)
         }
     }
 
-    /** That nothing is missing proves delivery only if something could have been missing, or if the lease was renewed meanwhile. */
+    /** Whether a heartbeat without missing items proves delivery: an item could have been missing, or the lease was renewed in the meantime. */
     private fun provesDelivery(
         known: HeartbeatRecord,
         heartbeat: Heartbeat,
@@ -86,16 +86,16 @@
         return heartbeat.termSeen > known.termSeen || leaseRenewed || state == ReachabilityState.SUSPECT
     }
 
-    /** A machine that hung sends no heartbeats meanwhile; one that kept sending them lost its lease because the responses were lost. */
+    /** Distinguishes a machine that hung and sent no heartbeats from one that kept sending them and lost its lease because responses were lost. */
     private fun onNewIncarnation(
         known: HeartbeatRecord,
-        answered: Boolean,
+        hasResponded: Boolean,
         leaseMs: Long,
         nowMs: Long,
     ): Boolean {
         incarnationSinceMs = nowMs
-        val keptSending = answered && known.incarnation != 0L && nowMs - known.lastContactAtMs < leaseMs * KEPT_SENDING_FRACTION
-        return keptSending && miss(WorkerConstants.UNREACHABLE_AFTER_MISSES, nowMs)
+        val keptSending = hasResponded && known.incarnation != 0L && nowMs - known.lastContactAtMs < leaseMs * MAX_HEARTBEAT_GAP_FRACTION
+        return keptSending && recordMiss(WorkerConstants.UNREACHABLE_AFTER_MISSES, nowMs)
     }
 
     private fun showsAnyOf(
@@ -107,24 +107,24 @@
                 starts.any { it.index == status.task.index && it.number == status.attempt && it.job.spec.id == status.task.job }
             }
 
-    private fun miss(
+    private fun recordMiss(
         weight: Int,
         nowMs: Long,
     ): Boolean {
-        missed += weight
-        return moveTo(if (missed >= WorkerConstants.UNREACHABLE_AFTER_MISSES) ReachabilityState.UNREACHABLE else ReachabilityState.SUSPECT, nowMs)
+        missedResponses += weight
+        return moveTo(if (missedResponses >= WorkerConstants.UNREACHABLE_AFTER_MISSES) ReachabilityState.UNREACHABLE else ReachabilityState.SUSPECT, nowMs)
     }
 
-    /** Something that was sent to the machine has taken effect there. Returns whether the state has changed. */
+    /** Records that a command or response has taken effect on the machine. Returns whether the state has changed. */
     fun confirmDelivery(nowMs: Long): Boolean {
-        missed = 0
+        missedResponses = 0
         return moveTo(ReachabilityState.REACHABLE, nowMs)
     }
 
     private companion object {
-        const val NO_ANSWER = -1L
+        const val NO_RESPONSE = -1L
 
-        /** Fraction of the lease within which the last heartbeat must lie for the machine to have kept sending them. */
-        const val KEPT_SENDING_FRACTION = 0.7
+        /** Maximum age of the last heartbeat, as a fraction of the lease, for the machine to count as having kept sending heartbeats. */
+        const val MAX_HEARTBEAT_GAP_FRACTION = 0.7
     }
 }
--- a/src/main/kotlin/mintfield/core/fleet/ReachabilityState.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReachabilityState.kt
@@ -1,13 +1,13 @@
 package mintfield.core.fleet
 
-/** Whether what a leader sends to a machine arrives there, as far as the machine's heartbeats show. */
+/** Whether responses and commands of the leader reach a machine, judged by its heartbeats. */
 enum class ReachabilityState {
-    /** Nothing speaks against it. */
+    /** No evidence of lost responses. */
     REACHABLE,
 
-    /** The last response seems to be lost, as happens now and then. The machine gets no new tasks for the moment. */
+    /** The last response appears to be lost, which happens occasionally. The machine gets no new tasks for the moment. */
     SUSPECT,
 
-    /** Several responses in a row were lost. The machine gets no new tasks and is probed from time to time. */
+    /** Several responses in a row were lost. The machine gets no new tasks and is probed periodically. */
     UNREACHABLE,
 }
--- a/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
@@ -3,21 +3,21 @@
 import mintfield.core.constants.FleetConstants
 
 /**
- * Names of machines whose release the cloud has confirmed. A late list or heartbeat must not bring such a machine back: taken for one
- * that boots, it would count as capacity to come. Names are kept by age and not by number, so that none is lost when thousands of
- * machines are reclaimed at once.
+ * Names of machines whose release the cloud has confirmed. A late list page or heartbeat must not add such a machine again: it would be
+ * taken for a booting machine and count as capacity. Names are kept by age and not by number, so that none is dropped early when thousands
+ * of machines are reclaimed at once.
  */
 class ReleasedMachines {
-    /** Steady milliseconds of the release by name, in order of release. */
+    /** Release times in steady milliseconds by machine name, in order of release. */
     private val releasedAtMs = LinkedHashMap<String, Long>()
 
-    /** How many names are kept. */
+    /** Number of names that are kept. */
     val size: Int get() = releasedAtMs.size
 
-    /** Whether the machine [id] is known to be released. */
+    /** Whether the release of the machine [id] was confirmed within the retention period. */
     operator fun contains(id: String): Boolean = id in releasedAtMs
 
-    /** Adds the machine [id] and drops the names of those of which no late message can come any more. */
+    /** Adds the machine [id] and drops names that are old enough that no late message can mention them. */
     fun add(
         id: String,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
@@ -5,30 +5,30 @@
 import mintfield.core.constants.FleetConstants
 import mintfield.core.model.MachineType
 
-/** A kind of machine that the cloud may provision: a type in a zone, on spot terms or not. */
+/** An option for provisioning: a machine type in a zone, on spot or ordinary terms. */
 internal data class ScaleOutOffer(
     val type: MachineType,
     val zone: String,
     val spot: Boolean,
 ) {
-    /** Price of one CPU for as long as the catalogue states prices for. */
+    /** Price of one CPU for the billing period of the catalogue. */
     val pricePerCpu: Double get() = if (spot) type.spotPrice / type.cpus else type.price / type.cpus
 }
 
-/** What the cloud offers by its catalogue, with an exponential backoff of each offer for which it had no capacity. */
+/** The offers in the cloud's catalogue, with an exponential backoff for each offer that the cloud had no capacity for. */
 internal class ScaleOutOffers(
     private val cluster: Cluster,
 ) {
     private val backoffUntilMs = HashMap<ScaleOutOffer, Long>()
     private val backoffMs = HashMap<ScaleOutOffer, Long>()
 
-    /** The cloud has provisioned machines for [intent]: the next refusal of the same offer is the first again. */
+    /** Resets the backoff of the offer that [intent] requested, after the cloud has provisioned machines for it. */
     fun granted(intent: ScaleOutIntent) {
         val offer = offerOf(intent) ?: return
         backoffMs.remove(offer)
     }
 
-    /** The cloud had less capacity than [intent] asked for: the same offer is not requested again for a while. */
+    /** Doubles the backoff of the offer that [intent] requested, as the cloud had less capacity, and suspends the offer for that time. */
     fun refused(
         intent: ScaleOutIntent,
         nowMs: Long,
@@ -40,7 +40,7 @@
         backoffUntilMs[offer] = nowMs + pauseMs
     }
 
-    /** [machine] was released: its capacity may be provisioned again, so an earlier refusal says nothing any more. */
+    /** Ends the backoff of the offer that matches the released [machine]: its capacity can be provisioned again. */
     fun capacityFreed(machine: Machine) {
         val offer = ScaleOutOffer(machine.type, machine.zone, machine.spot)
         backoffUntilMs.remove(offer)
@@ -50,8 +50,8 @@
     private fun offerOf(intent: ScaleOutIntent): ScaleOutOffer? = cluster.types[intent.type]?.let { ScaleOutOffer(it, intent.zone, intent.spot) }
 
     /**
-     * The offer to request of those that [fits] accepts and that are not backed off: the cheapest by CPU, then the quickest to boot,
-     * then the zone with the fewest machines. Null if there is none.
+     * Returns the best offer that [fits] accepts and that is not backed off, or null if there is none. Preferred are the lowest price per
+     * CPU, then the shortest boot time, then the zone with the fewest machines.
      */
     fun cheapest(
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/fleet/WorkerLease.kt
+++ b/src/main/kotlin/mintfield/core/fleet/WorkerLease.kt
@@ -1,52 +1,52 @@
 package mintfield.core.fleet
 
 /**
- * The lease under which a worker keeps its tasks, as far as its leader can know it, and the terms that decide which commands the worker
- * still accepts and from when on its heartbeats prove something. Times are steady milliseconds.
+ * The leader's knowledge of the lease under which a worker keeps its tasks, and the terms that decide which commands the worker accepts
+ * and which of its heartbeats count as proof. Times are steady milliseconds.
  */
 class WorkerLease {
-    /** The latest moment at which the lease can have begun; [Machine.NEVER] if this leader has not renewed it. */
+    /** The latest time at which the current lease period can have begun; [Machine.NEVER] if this leader has not renewed the lease. */
     var renewedAtMs = Machine.NEVER
         private set
 
-    /** The lowest fencing token of commands to the machine: the revision at which it became this leader's; 0 while one leader owns all. */
+    /** The lowest fencing token of commands to the machine: the revision at which this leader became its owner; 0 if one leader owns all machines. */
     var epoch = 0L
         private set
 
     /**
-     * The lowest term that the worker must have seen before tasks are planned on it. A new leader cannot tell a late copy of an old
-     * heartbeat from a new one, and its sender may be gone; a worker that has seen this leader's term is alive in its tenure.
+     * The lowest term that the worker must have seen before tasks are planned on it. A new leader cannot distinguish a late copy of an old
+     * heartbeat, whose sender may have terminated, from a new one. A worker that has seen this leader's term was alive during that term.
      */
     var requiredTerm = 0L
         private set
 
     /**
-     * The highest term of a direct start that may still be under way. Until the worker has seen a higher one, the absence of a task
-     * proves nothing, as a late copy of the start could still be carried out.
+     * The highest term of a direct start command that may still be in flight. Until the worker has seen a higher term, the absence of a task
+     * from a heartbeat proves nothing, because a late copy of the command could still be carried out.
      */
     var unacknowledgedTerm = 0L
         private set
 
-    /** Whether this leader has given or renewed the lease, so that it knows when it ends. */
+    /** Whether this leader has granted or renewed the lease, so that it knows when the lease ends. */
     val isKnown: Boolean get() = renewedAtMs != Machine.NEVER
 
-    /** A heartbeat is answered, and the answer may arrive. */
+    /** Records a response to a heartbeat, which renews the lease if it arrives. */
     fun renew(nowMs: Long) {
         renewedAtMs = nowMs
     }
 
-    /** A new incarnation has shown up, whose lease began with it. Counted from the last answer alone it would end too early. */
+    /** Records a new incarnation, whose lease began with it. Counted from the last response, the lease would appear to end too early. */
     fun restart(nowMs: Long) {
         renewedAtMs = maxOf(renewedAtMs, nowMs)
     }
 
-    /** Whether the lease is known and began longer than [expiryMs] ago. */
+    /** Whether the lease is known and began more than [expiryMs] ago. */
     fun hasExpired(
         nowMs: Long,
         expiryMs: Long,
     ): Boolean = isKnown && nowMs - renewedAtMs > expiryMs
 
-    /** The machine is this leader's, elected under [firstTerm], since revision [epoch]. */
+    /** Records that the machine belongs to this leader, elected in [firstTerm], since revision [epoch]. */
     fun own(
         firstTerm: Long,
         epoch: Long,
@@ -56,7 +56,7 @@
         unacknowledgedTerm = requiredTerm - 1
     }
 
-    /** The machine has come from another owner, who may have renewed the lease until now and whose starts may still be under way. */
+    /** Records the adoption from another owner, which may have renewed the lease until now and whose start commands may still be in flight. */
     fun adopt(
         firstTerm: Long,
         epoch: Long,
@@ -68,13 +68,13 @@
         renew(nowMs)
     }
 
-    /** Takes over what is known of [other], the lease of the same machine under another description. */
+    /** Copies renewal time and unacknowledged term of [other], the lease of the same machine under another description. */
     fun copyFrom(other: WorkerLease) {
         renewedAtMs = other.renewedAtMs
         recordUnacknowledged(other.unacknowledgedTerm)
     }
 
-    /** A direct start under [term] may have been sent and was not answered. */
+    /** Records that a direct start command of [term] may have been sent and got no response. */
     fun recordUnacknowledged(term: Long) {
         unacknowledgedTerm = maxOf(unacknowledgedTerm, term)
     }
--- a/src/main/kotlin/mintfield/core/fleet/ZoneFence.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ZoneFence.kt
@@ -1,9 +1,9 @@
 package mintfield.core.fleet
 
 /**
- * A record in the store by which a leader promises that it has not answered [machines] since [sinceWallMs] (time of day in milliseconds),
- * and that nobody will while the record exists. It proves to a successor, which has received none of their heartbeats, that their leases
- * have expired.
+ * A record in the store which guarantees that no leader has responded to heartbeats of [machines] since [sinceWallMs] (time of day in
+ * milliseconds) and that none will while the record exists. It proves to a successor, which has received no heartbeats of the machines,
+ * that their leases have expired.
  */
 class ZoneFence(
     val key: String,
--- a/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
@@ -4,60 +4,61 @@
 import mintfield.core.constants.FleetConstants
 
 /**
- * Fences the machines of a zone most of which are silent, as after a partition. Otherwise a leader that is lost before their leases have
- * expired takes with it all knowledge of when they expire, and what is planned on them stays so until the zone is back.
+ * Fences the unresponsive machines of a zone in which most machines are unresponsive, as after a partition. Without fences, the loss of the
+ * leader before the leases have expired would also lose the expiry times, and the attempts on the machines would remain assigned until
+ * the zone is back.
  *
- * Nobody may answer a fenced machine before its record is deleted: neither the leader that wrote the record nor a successor, which
- * therefore reads all records before it answers any machine. When a fenced machine sends a heartbeat, its record is deleted first; the
- * heartbeat waits for that transaction.
+ * No leader may respond to a fenced machine before its record is deleted: neither the leader that wrote the record nor a successor, which
+ * therefore reads all records before it responds to any machine. When a fenced machine sends a heartbeat, its record is deleted first;
+ * the heartbeat gets its response after that transaction.
  */
 class ZoneFencing(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
-    /** Machines that must not be answered, with the key of the record that names each. */
+    /** Key of the record that fences each machine, by machine name; fenced machines must not get responses. */
     private val fenceByMachine = HashMap<String, String>()
 
-    /** Records of earlier leaders that have not served as proof yet. */
+    /** Records of earlier leaders that have not been used as proof of lease expiry yet. */
     private val inherited = LinkedHashMap<String, ZoneFence>()
     private val toWrite = LinkedHashMap<String, ZoneFence>()
     private val toDelete = LinkedHashSet<String>()
     private var lastCheckMs = Machine.NEVER
     private var lastNumber = 0
 
-    /** Whether the records of earlier leaders have been read; no machine is answered before. */
-    var read = false
+    /** Whether the records of earlier leaders have been read; no machine gets a response before. */
+    var hasReadRecords = false
 
-    /** Records to be written. One transaction must not name a key twice, so what is to be deleted is not among them. */
+    /** Records to be written, without those also due for deletion, as a transaction must not contain a key twice. */
     val fencesToWrite: Collection<ZoneFence> get() = toWrite.values.filter { it.key !in toDelete }
 
     /** Keys of records to be deleted. */
     val fencesToLift: Collection<String> get() = toDelete
 
-    /** Takes in [record], which an earlier leader has written. */
+    /** Adds [record], which an earlier leader has written. */
     fun replay(record: ZoneFence) {
         inherited[record.key] = record
         record.machines.forEach { fenceByMachine[it] = record.key }
     }
 
-    /** The record under [key] cannot be read: it proves nothing and is deleted. */
+    /** Schedules the deletion of the record under [key], which cannot be decoded and so proves nothing. */
     fun replayUnreadable(key: String) {
         toDelete.add(key)
     }
 
-    /** Whether a heartbeat of [machine] may be answered now. If it may not because the machine is fenced, the fence will be lifted. */
-    fun mayAnswer(machine: String): Boolean {
-        if (!read) return false
+    /** Whether the leader may respond to a heartbeat of [machine] now. If the machine is fenced, schedules the lifting of its fence. */
+    fun mayRespondTo(machine: String): Boolean {
+        if (!hasReadRecords) return false
         val key = fenceByMachine[machine] ?: return true
         toDelete.add(key)
         return false
     }
 
-    /** Whether a fence of this leader or an earlier one names the machine [id]. */
+    /** Whether a fence of this or an earlier leader names the machine [id]. */
     fun isFenced(id: String): Boolean = id in fenceByMachine
 
-    /** Fences zones that have become silent, applies inherited records as proof, and deletes records that are of no more use. */
-    fun look(
+    /** Fences unresponsive zones, applies inherited records as proof, and schedules the deletion of fences whose machines have all been removed. */
+    fun updateFences(
         nowMs: Long,
         wallMs: Long,
     ) {
@@ -67,12 +68,12 @@
         for (record in inherited.values.toList()) {
             if (wallMs - record.sinceWallMs > cluster.timings.leaseExpiryMs + FleetConstants.WALL_CLOCK_MARGIN_MS) releaseAttempts(record, nowMs)
         }
-        liftFencesOfGoneMachines()
+        liftFencesOfRemovedMachines()
     }
 
     /**
-     * If no zone responds, this leader is cut off from its workers. They are about to be heard by way of the peers, and a third of their
-     * lease is over by then: no fence must delay their answers.
+     * Does nothing if all zones are unresponsive: the leader is then cut off from its workers. Their heartbeats will soon arrive through the
+     * peers, with a third of their lease already used up, so no fence must delay the responses.
      */
     private fun fenceUnresponsiveZones(
         nowMs: Long,
@@ -120,14 +121,14 @@
     ) {
         inherited.remove(proof.key)
         for (id in proof.machines) {
-            // If the fence was lifted meanwhile, or another one names the machine, it may have been answered.
+            // If the fence was lifted in the meantime, or another fence names the machine, the machine may have got a response.
             if (fenceByMachine[id] != proof.key) continue
             val machine = cluster.machines[id] ?: continue
             machine.attempts.toList().forEach { cluster.release(it, nowMs, "lease expired, as the zone fence of an earlier leader proves") }
         }
     }
 
-    private fun liftFencesOfGoneMachines() {
+    private fun liftFencesOfRemovedMachines() {
         val candidates =
             fenceByMachine.entries
                 .filter { it.key !in cluster.machines }
@@ -136,12 +137,12 @@
         for (key in candidates) if (fenceByMachine.none { it.value == key && it.key in cluster.machines }) toDelete.add(key)
     }
 
-    /** [record] has been written. */
+    /** Handles the completed write of [record]. */
     fun written(record: ZoneFence) {
         toWrite.remove(record.key)
     }
 
-    /** The record under [key] has been deleted: its machines may be answered again. */
+    /** Handles the completed deletion of the record under [key]: its machines may get responses again. */
     fun deleted(key: String) {
         toDelete.remove(key)
         toWrite.remove(key)
@@ -150,10 +151,10 @@
     }
 
     private companion object {
-        /** Bytes of each KiB of a value that names may take. */
+        /** Bytes per KiB of the value limit that machine names may use. */
         const val NAME_BYTES_PER_KB = 900
 
-        /** Quotes and comma of one name. */
+        /** Bytes of the quotes and the comma around one name. */
         const val NAME_OVERHEAD_BYTES = 3
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -35,13 +35,13 @@
     ): List<WorkerCommand> {
         val heartbeat = machine.lastHeartbeat ?: return emptyList()
         if (machine.occupancy.reconciled) {
-            if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), emptyList())
+            if (viaHeartbeat) machine.reachability.recordResponse(cluster.token(machine), emptyList())
             return emptyList()
         }
         val response = Response(machine, heartbeat, viaHeartbeat, nowMs)
         heartbeat.tasks.forEach(response::addFor)
         val started = response.addStarts()
-        if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), started)
+        if (viaHeartbeat) machine.reachability.recordResponse(cluster.token(machine), started)
         if (!response.commands.isEmpty) return response.commands.inOrder()
         machine.occupancy.markReconciled(response.leavesNothingToDo())
         return emptyList()
@@ -79,8 +79,8 @@
         ) {
             expected.add(status.task)
             if (foreign.ended) {
-                if (viaHeartbeat && foreign.acknowledgeWanted) commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
-            } else if (foreign.stopWanted || isCancelled(status.task.job)) {
+                if (viaHeartbeat && foreign.acknowledgeRequested) commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
+            } else if (foreign.stopRequested || isCancelled(status.task.job)) {
                 foreign.stopSent(nowMs)
                 commands.add(WorkerCommand.Stop(status.task, status.attempt, graceS = 0.0))
             }
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -74,7 +74,7 @@
     private fun isDirectRouteLikely(
         machine: Machine,
         nowMs: Long,
-    ): Boolean = !machine.directRoute.isUnlikely && nowMs - machine.heartbeats.lastUnpromptedAtMs <= cluster.timings.heartbeatTimeoutMs
+    ): Boolean = !machine.directRoute.isLikelyUnusable && nowMs - machine.heartbeats.lastUnpromptedAtMs <= cluster.timings.heartbeatTimeoutMs
 
     /** A call with the starts planned since the worker's last heartbeat, and the stops that make room for them; null without starts. */
     private fun startCall(
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -97,7 +97,7 @@
         val type = job.compatibleTypes.firstNotNullOfOrNull { cluster.types[it] } ?: cluster.types.values.firstOrNull() ?: return null
         val zone = job.spec.zone ?: type.zones.firstOrNull() ?: return null
         if (!cluster.ownership.owns(id)) return fleet.registry.addOwnedElsewhere(id, type, zone, nowMs)
-        return fleet.registry.machine(id, type.name, zone, false, nowMs)?.also { it.origin.markProvisional() }
+        return fleet.registry.getOrAdd(id, type.name, zone, false, nowMs)?.also { it.origin.markProvisional() }
     }
 
     // ---- writes ----
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
@@ -35,8 +35,8 @@
     ) {
         for (ref in refs) {
             val foreignTask = machine.foreignTasks[ref.task]?.takeIf { it.status.attempt == ref.attempt } ?: continue
-            if (ref.action == ForeignTaskRef.Action.STOP) foreignTask.wantStop()
-            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreignTask.wantAcknowledge()
+            if (ref.action == ForeignTaskRef.Action.STOP) foreignTask.requestStop()
+            if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) foreignTask.requestAcknowledge()
             machine.occupancy.markReconciled(false)
         }
     }
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -100,7 +100,7 @@
         settleReleasesInDoubt()
         table.assigned
             .filter { it !in cluster.machines && ownership.owns(it) && it !in ownership.terminatedMachines }
-            .forEach { fleet.registry.assume(it, nowMs) }
+            .forEach { fleet.registry.addProvisional(it, nowMs) }
         for (machine in cluster.machines.values.toList()) reconcile(machine, nowMs)
     }
 
--- a/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
@@ -39,8 +39,8 @@
 
     private fun ownerlessMachinesDue(nowMs: Long): List<String> {
         // The leader that provisioned a machine claims it itself, so others wait; before the first claim of all, nobody has provisioned any.
-        val lagMs = if (table.assigned.isEmpty()) 0 else fleet.listLagMs()
-        return fleet.ownerless
+        val lagMs = if (table.assigned.isEmpty()) 0 else fleet.maxListLagMs()
+        return fleet.unowned
             .filter { (machine, sinceMs) ->
                 val waitedMs = nowMs - sinceMs
                 waitedMs >= lagMs && policy.takes(machine, abandoned = waitedMs > lagMs + ShardingConstants.CLAIM_TIMEOUT_MS)
@@ -54,7 +54,7 @@
         nowMs: Long,
     ) {
         ownership.removeClaim(machine)
-        fleet.ownerless.remove(machine)
+        fleet.unowned.remove(machine)
         val intent = intentByMachine.remove(machine)
         fleet.registry.claimed(machine, intent, nowMs)
         if (intent != null && intent !in intentByMachine.values) fleet.completedIntents.add(intent.idempotencyKey)
--- a/src/main/kotlin/mintfield/core/placement/ImageRank.kt
+++ b/src/main/kotlin/mintfield/core/placement/ImageRank.kt
@@ -20,7 +20,7 @@
     ): Int =
         when {
             machine.images.has(image) -> PRESENT
-            machine.images.isAwaited(image) -> FETCHING
+            machine.images.isNeeded(image) -> FETCHING
             else -> ABSENT
         }
 }
--- a/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
@@ -26,7 +26,7 @@
     /** Whether no machine has room for any waiting array. */
     val none: Boolean get() = withCapacity.isEmpty()
 
-    private fun hasCapacity(machine: Machine) = machine.occupancy.hasRoomFor(cpus + reserve.margin(machine, cpus), gpus, memoryGb)
+    private fun hasCapacity(machine: Machine) = machine.occupancy.hasCapacityFor(cpus + reserve.margin(machine, cpus), gpus, memoryGb)
 
     /** Where a task of [job] could go: on any open machine, if it may preempt others or does not belong to an array. */
     fun forJob(job: Job): List<Machine> {
--- a/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
+++ b/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
@@ -88,7 +88,7 @@
             return rank == ImageRank.PRESENT || (rank <= worstImage && machine.images.fetchS(spec.image, spec.imageGb) <= patienceS)
         }
 
-        private fun hasRoom(machine: Machine) = machine.occupancy.hasRoomFor(spec.cpus + reserve.margin(machine, spec), spec.gpus, spec.memoryGb)
+        private fun hasRoom(machine: Machine) = machine.occupancy.hasCapacityFor(spec.cpus + reserve.margin(machine, spec), spec.gpus, spec.memoryGb)
 
         private fun fill(
             worst: Int,
--- a/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
+++ b/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
@@ -111,7 +111,7 @@
             zone = json.string(ZONE) ?: "",
             spot = json.bool(SPOT) ?: false,
             stage = stageOf(json.string(STAGE)),
-            heldS = json.double(HELD_S) ?: 0.0,
+            ageS = json.double(HELD_S) ?: 0.0,
         )
     }
 
