--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -67,7 +67,7 @@
         val known = entry.id in cluster.machines
         val machine = registry.getOrAdd(entry.id, entry.type, entry.zone, entry.spot, nowMs) ?: return
         if (entry.hasFailed && entry.id !in released) return releases.schedule(machine, nowMs, "the cloud lists it as failed")
-        machine.origin.listed(nowMs)
+        machine.origin.recordListed(nowMs)
         val described = if (machine.provisional) registry.redescribe(machine, entry.type, entry.zone, entry.spot, nowMs) ?: machine else machine
         if (entry.isBooting) processBootingEntry(entry, described, known, nowMs)
     }
@@ -83,7 +83,7 @@
         nowMs: Long,
     ) {
         machine.origin.clearAdoption()
-        if (!known) machine.origin.seenSince(nowMs - (entry.ageS * TimeUnits.MS_PER_SECOND).toLong().coerceAtMost(MAX_AGE_MS))
+        if (!known) machine.origin.setFirstSeen(nowMs - (entry.ageS * TimeUnits.MS_PER_SECOND).toLong().coerceAtMost(MAX_AGE_MS))
     }
 
     /**
--- a/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
@@ -8,7 +8,7 @@
     var failures = 0
         private set
 
-    /** Number of [failures] attributed to the machine, because the jobs succeed on other machines. */
+    /** Number of [failures] attributed to the machine, because their jobs succeed on other machines. */
     var attributedFailures = 0
         private set
 
@@ -28,21 +28,21 @@
         private set
 
     /** Records that a task has succeeded here, which resets the failure counts. */
-    fun succeeded() {
+    fun recordSuccess() {
         failures = 0
         attributedFailures = 0
         suspectJobIds.clear()
         suspectJobs = 0
     }
 
-    /** Records a failure of a task whose job succeeds elsewhere, attributed to the machine. */
-    fun failedByMachine() {
+    /** Records a failure of a task whose job is known to succeed; it is attributed to the machine. */
+    fun recordMachineFailure() {
         failures++
         attributedFailures++
     }
 
-    /** Records a failure of a task of [job], which has neither succeeded nor become suspect. */
-    fun failedForUnknownCause(job: String) {
+    /** Records a failure of a task of [job], which has neither succeeded nor become suspect; the cause is unknown. */
+    fun recordUnattributedFailure(job: String) {
         failures++
         if (suspectJobIds.add(job)) suspectJobs++
     }
--- a/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
@@ -24,17 +24,17 @@
     var acknowledgeRequested = false
         private set
 
-    /** Records that the leader of its job requests a stop. */
+    /** Requests a stop on behalf of the leader of its job. */
     fun requestStop() {
         stopRequested = true
     }
 
-    /** Records that the leader of its job has recorded its end, so that the worker can be sent an acknowledgement. */
+    /** Requests an acknowledgement to the worker: the leader of its job has recorded the end of the task. */
     fun requestAcknowledge() {
         acknowledgeRequested = true
     }
 
-    /** Records that a stop command is sent to the worker; only the first call counts. */
+    /** Records that a stop command is sent to the worker; only the time of the first one is kept. */
     fun stopSent(nowMs: Long) {
         if (stopSentAtMs == 0L) stopSentAtMs = nowMs
     }
--- a/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
@@ -31,18 +31,18 @@
     }
 
     /** Sets the time since which the machine is known to exist. */
-    fun seenSince(atMs: Long) {
+    fun setFirstSeen(atMs: Long) {
         firstSeenAtMs = atMs
     }
 
     /** Records that a page of the cloud's list contains the machine. */
-    fun listed(nowMs: Long) {
+    fun recordListed(nowMs: Long) {
         if (firstListedAtMs == Machine.NEVER) firstListedAtMs = nowMs
         listedAtMs = nowMs
     }
 
     /** Records the adoption from another owner at [atMs]; [Machine.NEVER] for none. */
-    fun adopted(atMs: Long) {
+    fun recordAdoption(atMs: Long) {
         adoptedAtMs = atMs
     }
 
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -35,8 +35,8 @@
         if (id in released || !cluster.ownership.owns(id)) return null
         val type = cluster.types[typeName] ?: return null
         val machine = Machine(id, type, zone, spot)
-        machine.origin.seenSince(nowMs)
-        adoptedAtMs.remove(id)?.let { machine.origin.adopted(it) }
+        machine.origin.setFirstSeen(nowMs)
+        adoptedAtMs.remove(id)?.let { machine.origin.recordAdoption(it) }
         machine.lease.own(cluster.firstTerm, cluster.ownership.epoch(id))
         cluster.machines[id] = machine
         return machine
@@ -85,8 +85,8 @@
         if (machine.state != MachineState.OWNED_ELSEWHERE) return
         machine.moveTo(MachineState.PROVISIONING, nowMs)
         machine.lease.adopt(cluster.firstTerm, cluster.ownership.epoch(id), nowMs)
-        machine.origin.seenSince(nowMs)
-        machine.origin.adopted(nowMs)
+        machine.origin.setFirstSeen(nowMs)
+        machine.origin.recordAdoption(nowMs)
         machine.heartbeats.discardLatest()
         machine.occupancy.markReconciled(false)
     }
@@ -103,7 +103,7 @@
         val zone = type.zones.firstOrNull() ?: return
         val machine = getOrAdd(id, type.name, zone, spot = false, nowMs) ?: return
         machine.origin.markProvisional()
-        machine.origin.adopted(nowMs)
+        machine.origin.recordAdoption(nowMs)
     }
 
     /** Adds the claimed machine [id], which this leader has provisioned for [intent]. With a null intent the machine is added once the list has it. */
@@ -129,7 +129,7 @@
         if (typeName !in cluster.types || old.state == MachineState.TERMINATING || !cluster.ownership.owns(old.id)) return old
         cluster.machines.remove(old.id)
         val machine = getOrAdd(old.id, typeName, zone, spot, nowMs) ?: return null
-        machine.origin.adopted(old.origin.adoptedAtMs)
+        machine.origin.recordAdoption(old.origin.adoptedAtMs)
         machine.lease.copyFrom(old.lease)
         moveAttempts(old, machine, nowMs)
         return machine
--- a/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
@@ -11,7 +11,7 @@
     val zone: String,
     val spot: Boolean,
 ) {
-    /** Price of one CPU for the billing period of the catalogue. */
+    /** Price of one CPU, per the unit of time that the catalogue uses. */
     val pricePerCpu: Double get() = if (spot) type.spotPrice / type.cpus else type.price / type.cpus
 }
 
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -21,7 +21,7 @@
         machine: Machine,
         nowMs: Long,
     ) {
-        machine.failureRecord.succeeded()
+        machine.failureRecord.recordSuccess()
         job.failureRecord.recordSuccess()
         if (job.health != JobHealth.HEALTHY) becameHealthy(job, nowMs)
     }
@@ -35,7 +35,7 @@
     ) {
         job.failureRecord.recordFailure(machine, ranMs, nowMs)
         when (job.health) {
-            JobHealth.HEALTHY -> machine.failureRecord.failedByMachine()
+            JobHealth.HEALTHY -> machine.failureRecord.recordMachineFailure()
 
             JobHealth.SUSPECT -> {
                 job.failureRecord.probeFailed(nowMs)
@@ -43,7 +43,7 @@
             }
 
             JobHealth.UNKNOWN -> {
-                machine.failureRecord.failedForUnknownCause(job.id)
+                machine.failureRecord.recordUnattributedFailure(job.id)
                 job.failureRecord.addUnattributed(machine)
                 cluster.unprovenJobs.add(job)
                 if (hasFailedOnSoundMachines(job)) return becameSuspect(job, nowMs)
