--- a/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
@@ -27,7 +27,7 @@
     /** Whether no machine has capacity for any waiting array. */
     val isEmpty: Boolean get() = withCapacity.isEmpty()
 
-    private fun hasCapacity(machine: Machine) = machine.occupancy.hasRoomFor(cpus + reserve.margin(machine, cpus), gpus, memoryGb)
+    private fun hasCapacity(machine: Machine) = machine.occupancy.hasCapacityFor(cpus + reserve.margin(machine, cpus), gpus, memoryGb)
 
     /** The machines on which a task of [job] could be placed: all open machines if the job may preempt others or is not an array. */
     fun forJob(job: Job): List<Machine> {
