--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -104,7 +104,7 @@
         val after = replica.revision
         val changes = (store.watch(Keys.JOBS, after, waitMs, urgent) as? StoreResult.Ok)?.value ?: return CatchUp.NO_ANSWER
         if (changes.tooOld) {
-            replica.historyLost(after)
+            replica.historyCompacted(after)
             return CatchUp.HISTORY_LOST
         }
         replica.apply(changes.log.mapNotNull(reader::jobChange), changes.revision)
@@ -120,7 +120,7 @@
             var after: String? = null
             do {
                 val page = (store.list(Keys.LIVE, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
-                snapshot.page(page.revision, reader.records(page))
+                snapshot.addPage(page.revision, reader.records(page))
                 after = page.entries.lastOrNull()?.key
             } while (page.hasNext && after != null)
             snapshot.complete()
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -66,7 +66,7 @@
     private fun addCancelledSuccessors(batch: CommitBatch) {
         for (job in cluster.cancelledByDependency) {
             if (batch.lacksRoomFor(FINISH_COST)) return
-            if (job.cancellationRecorded || job.finishing || job.unreadable || job.begun) continue
+            if (job.cancellationRecorded || job.finishing || job.unreadable || job.hasStartedTasks) continue
             batch.add(Write.CancelSuccessor(job), FINISH_COST)
         }
     }
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -111,14 +111,14 @@
         call: DirectCall,
         heartbeat: Heartbeat?,
         nowMs: Long,
-    ) = directCommands.answered(call, heartbeat, nowMs)
+    ) = directCommands.onResponse(call, heartbeat, nowMs)
 
     /** There was no answer to [call]. Unless it was never [sent], it may still be executed late. */
     fun directUnanswered(
         call: DirectCall,
         sent: Boolean,
         nowMs: Long,
-    ) = directCommands.unanswered(call, sent, nowMs)
+    ) = directCommands.onNoResponse(call, sent, nowMs)
 
     // ---- the store ----
 
--- a/src/main/kotlin/mintfield/core/jobs/AbsenceProof.kt
+++ b/src/main/kotlin/mintfield/core/jobs/AbsenceProof.kt
@@ -4,9 +4,9 @@
 import mintfield.core.model.Heartbeat
 
 /**
- * Whether this heartbeat of [machine] proves that a task which it lacks is not on the machine and will not appear there any more.
+ * Whether this heartbeat of [machine] proves that each task missing from it is not on the machine and will not appear there later.
  *
- * A direct start that got no answer may be carried out minutes later. Only a worker that has seen a term above that of the
- * start rejects it.
+ * A direct start without a response may still be carried out minutes later. A worker rejects it only after it has seen a higher term
+ * than that of the start.
  */
 internal fun Heartbeat.provesAbsence(machine: Machine): Boolean = termSeen > machine.lease.unacknowledgedTerm && !machine.directRoute.inFlight
--- a/src/main/kotlin/mintfield/core/jobs/Attempt.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Attempt.kt
@@ -2,46 +2,47 @@
 
 import mintfield.core.fleet.Machine
 
-/** One try of a task on one machine. It occupies the machine from the plan until its release. */
+/** One try of a task on one machine. It occupies the machine from its planning until its release. */
 class Attempt(
     val job: Job,
     /** Number of the task within its job, from 0. */
     val index: Int,
-    /** Distinguishes the attempts of a task; never used twice. */
+    /** Identifies the attempt among all attempts of the task; never reused. */
     val number: Long,
     val machine: Machine,
-    /** The worker's incarnation in which the attempt was planned. It ends with that incarnation. */
+    /** The worker's incarnation for which the attempt was planned. The attempt ends when the incarnation ends. */
     val incarnation: Long,
 ) {
     var state = AttemptState.PLANNING
         private set
 
-    /** When the state last changed, in steady milliseconds. */
+    /** Time of the last state change, in steady milliseconds. */
     var changedAtMs = 0L
         private set
 
-    /** Whether a start of this attempt may ever have left any controller. */
+    /** Whether any controller may have sent a start of this attempt. */
     var startSent = false
 
-    /** Whether it has not been released. */
+    /** Whether the attempt still occupies its machine, that is, has not been released. */
     val live: Boolean get() = state != AttemptState.RELEASED
 
-    /** The only place where an attempt changes its state. Throws [IllegalStateException] if that change is not allowed. */
+    /** Changes the state; all state changes go through this function. Throws [IllegalStateException] if the transition is not allowed. */
     fun moveTo(
         next: AttemptState,
         nowMs: Long,
     ) {
         if (next == state) return
-        check(next in allowed.getValue(state)) { "${job.spec.id}/$index: $state to $next" }
-        job.progress.attemptMoved(state, next)
+        check(next in allowedTransitions.getValue(state)) { "${job.spec.id}/$index: attempt cannot change from $state to $next" }
+        job.progress.attemptStateChanged(state, next)
         machine.occupancy.stateChanged(state, next)
         state = next
         changedAtMs = nowMs
     }
 
     private companion object {
+        /** The states that a heartbeat can put a planned attempt into. */
         val afterHeartbeat = setOf(AttemptState.PULLING, AttemptState.RUNNING, AttemptState.STOPPING, AttemptState.RELEASED)
-        val allowed =
+        val allowedTransitions =
             mapOf(
                 AttemptState.PLANNING to setOf(AttemptState.PLANNED, AttemptState.RELEASED, AttemptState.STOPPING),
                 AttemptState.PLANNED to afterHeartbeat + AttemptState.STARTING,
--- a/src/main/kotlin/mintfield/core/jobs/AttemptState.kt
+++ b/src/main/kotlin/mintfield/core/jobs/AttemptState.kt
@@ -1,25 +1,25 @@
 package mintfield.core.jobs
 
-/** The state of an [Attempt]. */
+/** The state of an [Attempt]. An attempt occupies its machine in every state except [RELEASED]. */
 enum class AttemptState {
-    /** Chosen; the write of the plan is under way. Nothing may be sent. */
+    /** Placed on a machine; the plan is not yet written to the store, and no start may be sent. */
     PLANNING,
 
-    /** The plan is written; a start may be sent, and repeated. */
+    /** The plan is written; a start may be sent and repeated. */
     PLANNED,
 
-    /** A start was sent; nothing has been seen of it. */
+    /** A start was sent; no heartbeat has shown the task yet. */
     STARTING,
 
-    /** Reported as waiting for its image. */
+    /** Reported by the worker as waiting for its image. */
     PULLING,
 
-    /** Reported as running. */
+    /** Reported by the worker as running. */
     RUNNING,
 
-    /** To be gone: stopped wherever it shows up, released once it is proven to be absent. */
+    /** Being ended: stopped whenever a heartbeat shows it, released once it is proven to be absent. */
     STOPPING,
 
-    /** Released by proof, or never sent. Final. */
+    /** Proven to have ended, or its start was never sent. Final. */
     RELEASED,
 }
--- a/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/CommandPlanner.kt
@@ -13,20 +13,20 @@
 import mintfield.core.model.WorkerCommand
 
 /**
- * Decides which commands a worker gets, by comparing its last heartbeat with the plan: stops of tasks that must not be there,
- * acknowledgements of exits that need not be reported any more, and starts of planned tasks that are missing.
+ * Decides which commands a worker gets by comparing its last heartbeat with the plan: stops of tasks that are not planned on it,
+ * acknowledgements of exits that it no longer needs to report, and starts of planned tasks that are missing.
  *
- * [HeartbeatReconciler] must have taken in the heartbeat before. Not thread-safe, like the [Cluster] that it works on.
+ * [HeartbeatReconciler] must have processed the heartbeat first. Not thread-safe, like [Cluster].
  */
 class CommandPlanner(
     private val cluster: Cluster,
-    /** Whether users were told that a job is cancelled, whichever shard schedules it. */
+    /** Whether the cancellation of the job with this id was confirmed to the user, whichever shard schedules the job. */
     private val isCancelled: (String) -> Boolean = { false },
 ) {
     /**
-     * The commands for [machine] after its last heartbeat. [viaHeartbeat]: they are the response to that heartbeat, and not a direct
-     * call. Only a response acknowledges exits and repeats starts: it is dropped when it is late, so that nothing in it can be
-     * carried out after a later heartbeat was sent.
+     * The commands for [machine] after its last heartbeat. [viaHeartbeat]: whether they are sent in the response to the heartbeat, as
+     * opposed to a direct call. Exits are acknowledged and starts are repeated only in a response: workers drop a late response, so
+     * none of its commands can be carried out after a later heartbeat was sent.
      */
     fun commands(
         machine: Machine,
@@ -38,17 +38,17 @@
             if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), emptyList())
             return emptyList()
         }
-        val response = Response(machine, heartbeat, viaHeartbeat, nowMs)
-        heartbeat.tasks.forEach(response::addFor)
-        val started = response.addStarts()
+        val builder = CommandListBuilder(machine, heartbeat, viaHeartbeat, nowMs)
+        heartbeat.tasks.forEach(builder::addForReported)
+        val started = builder.addStarts()
         if (viaHeartbeat) machine.reachability.recordAnswer(cluster.token(machine), started)
-        if (!response.commands.isEmpty) return response.commands.inOrder()
-        machine.occupancy.markReconciled(response.leavesNothingToDo())
+        if (!builder.commands.isEmpty) return builder.commands.inOrder()
+        machine.occupancy.markReconciled(builder.heartbeatMatchesPlan())
         return emptyList()
     }
 
-    /** The response to one [heartbeat], as far as it is decided. */
-    private inner class Response(
+    /** Collects the commands that one [heartbeat] of [machine] requires. */
+    private inner class CommandListBuilder(
         private val machine: Machine,
         private val heartbeat: Heartbeat,
         private val viaHeartbeat: Boolean,
@@ -56,12 +56,12 @@
     ) {
         val commands = PlannedCommands()
 
-        /** Reported tasks that are planned here with the reported attempt, and foreign tasks. */
+        /** Reported tasks that are either planned on the machine with the reported attempt, or foreign. */
         private val expected = HashSet<TaskId>(heartbeat.tasks.size * 2)
         private val provesAbsence = heartbeat.provesAbsence(machine)
 
-        /** Adds the stop or the acknowledgement that [status] calls for, if any. */
-        fun addFor(status: TaskStatus) {
+        /** Adds the stop or the acknowledgement that [status] requires, if any. */
+        fun addForReported(status: TaskStatus) {
             val job = cluster.jobs[status.task.job]
             val attempt = job?.attempt(status.task.index)?.takeIf { it.machine === machine && it.number == status.attempt }
             val foreign = if (attempt == null) machine.foreignTasks[status.task] else null
@@ -69,7 +69,7 @@
                 foreign != null -> addForForeign(foreign, status)
                 attempt != null -> addForPlanned(attempt, status)
                 job != null || nowMs - machine.origin.adoptedAtMs >= ShardingConstants.FOREIGN_TASK_GRACE_MS -> addForUnplanned(job, status)
-                // On a machine that was handed over lately it may be a foreign task that this leader does not know of yet.
+                // On a recently adopted machine, it may be a foreign task of which this leader has not been notified yet.
             }
         }
 
@@ -103,7 +103,7 @@
             if (status.state != TaskState.ENDED) {
                 commands.add(WorkerCommand.Stop(status.task, status.attempt, graceS = 0.0))
             } else if (viaHeartbeat && mayAcknowledge(job, status)) {
-                // After an acknowledgement the worker does not know the attempt any more, and a late start would run it again.
+                // After an acknowledgement the worker forgets the attempt, and a late start would run it again.
                 if (provesAbsence) {
                     commands.add(WorkerCommand.Acknowledge(status.task, status.attempt))
                 } else if (machine.lease.unacknowledgedTerm >= cluster.token(machine)) {
@@ -132,16 +132,16 @@
             return attempt.state == AttemptState.PLANNED || (viaHeartbeat && attempt.state == AttemptState.STARTING)
         }
 
-        /** Whether the heartbeat shows exactly what is planned. The same list of tasks then calls for no commands later either. */
-        fun leavesNothingToDo(): Boolean =
+        /** Whether the heartbeat shows exactly the planned tasks. If so, an unchanged list of tasks requires no commands later either. */
+        fun heartbeatMatchesPlan(): Boolean =
             machine.foreignTasks.isEmpty &&
                 expected.size == machine.attempts.size &&
                 expected.size == heartbeat.tasks.size &&
                 heartbeat.tasks.none { it.state == TaskState.ENDED }
 
         /**
-         * Seconds that a stopped task of the plan gets to save a checkpoint; 0 to end it at once. A task that has had its time and
-         * does not end is stopped without grace.
+         * Grace period in seconds in which a stopped planned task may save a checkpoint; 0 to end it at once. A task that does not end
+         * within its grace period is stopped without grace.
          */
         private fun graceS(attempt: Attempt): Double {
             val spec = attempt.job.spec
@@ -152,17 +152,17 @@
         }
     }
 
-    /** Whether a worker may forget an exit that is not planned on it. A result may be forgotten only when the store has it. */
+    /** Whether a worker may forget the exit of a task that is not planned on it. A success may be forgotten only once the store records it. */
     private fun mayAcknowledge(
         job: Job?,
         status: TaskStatus,
     ): Boolean = job == null || job.cancelled || status.cause != ExitReason.DONE || job.progress.isDoneRecorded(status.task.index)
 
     private companion object {
-        /** Times its own estimate that a task may take to save, unless its machine is about to be reclaimed. */
+        /** Multiple of its own estimate that a task gets to save a checkpoint, unless its machine is about to be reclaimed. */
         const val GRACE_FACTOR = 2
 
-        /** Milliseconds beyond its grace after which a stopped task is stopped without grace. */
+        /** Milliseconds after the end of its grace period from which on a task is stopped without grace. */
         const val GRACE_SLACK_MS = 3_000L
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -10,10 +10,10 @@
 import mintfield.core.model.WorkerCommand
 
 /**
- * Decides on direct calls: starts that are sent straight to workers, so that a task need not wait for the next heartbeat of its
- * machine, and probes of unreachable machines.
+ * Decides on direct calls to workers: starts that do not wait for the next heartbeat of their machine, and probes of unreachable
+ * machines.
  *
- * Not thread-safe, like the [Cluster] that it works on.
+ * Not thread-safe, like [Cluster].
  */
 class DirectCommands(
     private val cluster: Cluster,
@@ -21,22 +21,23 @@
     private val commandPlanner: CommandPlanner,
     private val log: (String) -> Unit,
 ) {
-    /** Consecutive calls, to whatever machines, that got no response. */
-    private var unanswered = 0
+    /** Consecutive calls with commands, to any machines, that got no response. */
+    private var consecutiveUnanswered = 0
     private var pausedUntilMs = Machine.NEVER
 
-    /** At most [most] calls to make now. Each is to be followed by one call of [answered] or [unanswered]. */
+    /** The calls to make now, at most [maxCalls]. The caller must pass each of them to [onResponse] or [onNoResponse] once. */
     fun calls(
         nowMs: Long,
-        most: Int,
+        maxCalls: Int,
     ): List<DirectCall> {
-        if (most <= 0 || nowMs < pausedUntilMs) return emptyList()
-        // While no call gets through, each further one would only leave a start in doubt until the term has risen: one probe suffices.
-        val pathLost = unanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
+        if (maxCalls <= 0 || nowMs < pausedUntilMs) return emptyList()
+        // While no call gets a response, each further call would leave it unknown whether a start is carried out until the term is raised.
+        // One call is enough to probe the path.
+        val pathLost = consecutiveUnanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
         if (pathLost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
-        val limit = if (pathLost) 1 else most
-        // A probe may take its whole timeout, and must not keep machines waiting that have something to start.
-        var probesLeft = if (most > cluster.bounds.directCalls / 2) MAX_CONCURRENT_PROBES else 0
+        val limit = if (pathLost) 1 else maxCalls
+        // A probe may last until its timeout, and must not delay calls to machines that have tasks to start.
+        var probesLeft = if (maxCalls > cluster.bounds.directCalls / 2) MAX_CONCURRENT_PROBES else 0
         val calls = ArrayList<DirectCall>()
         for (machine in cluster.machines.values) {
             if (calls.size >= limit) break
@@ -52,7 +53,7 @@
         return calls
     }
 
-    /** Asked first, since it passes over most of thousands of machines. */
+    /** Cheap check that excludes most of the thousands of machines; evaluated first. */
     private fun hasReasonToCall(machine: Machine): Boolean =
         machine.count(AttemptState.PLANNED) > 0 || machine.reachability.state == ReachabilityState.UNREACHABLE
 
@@ -76,7 +77,7 @@
         nowMs: Long,
     ): Boolean = !machine.directRoute.isUnlikely && nowMs - machine.heartbeats.lastUnpromptedAtMs <= cluster.timings.heartbeatTimeoutMs
 
-    /** A call with the starts planned since the worker's last heartbeat, and the stops that make room for them; null without starts. */
+    /** A call with the starts planned since the worker's last heartbeat and the stops that free capacity for them; null without starts. */
     private fun startCall(
         machine: Machine,
         nowMs: Long,
@@ -89,7 +90,7 @@
         return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, commands)
     }
 
-    /** A call without commands, to find out whether an unreachable machine can be reached again. As it starts nothing, it needs no fencing. */
+    /** A call without commands that tests whether an unreachable machine can be reached again. It starts nothing and needs no fencing. */
     private fun probe(
         machine: Machine,
         nowMs: Long,
@@ -100,20 +101,20 @@
         return DirectCall(machine.id, address, cluster.token(machine), machine.incarnation, emptyList())
     }
 
-    /** The worker has responded to [call], with its [heartbeat] if the response could be read. */
-    fun answered(
+    /** Handles the response of the worker to [call]; [heartbeat] is null if the response could not be decoded. */
+    fun onResponse(
         call: DirectCall,
         heartbeat: Heartbeat?,
         nowMs: Long,
     ) {
         val machine = cluster.machines[call.machine] ?: return
         machine.directRoute.callEnded()
-        unanswered = 0
+        consecutiveUnanswered = 0
         if (heartbeat != null && heartbeat.machine == machine.id) reconciler.reconcile(machine, heartbeat, viaHeartbeat = false, nowMs)
     }
 
-    /** There was no response to [call]. [sent]: it may have left this controller, and may yet be carried out. */
-    fun unanswered(
+    /** Handles a [call] without a response. [sent]: whether it may have left this controller, and may still be carried out. */
+    fun onNoResponse(
         call: DirectCall,
         sent: Boolean,
         nowMs: Long,
@@ -121,18 +122,18 @@
         val machine = cluster.machines[call.machine] ?: return
         machine.directRoute.callEnded()
         if (call.commands.isEmpty()) return
-        unanswered++
-        if (unanswered == WorkerConstants.DIRECT_PATH_LOST_AFTER) {
-            log("$unanswered direct commands in a row got no answer: starts go with heartbeat responses")
+        consecutiveUnanswered++
+        if (consecutiveUnanswered == WorkerConstants.DIRECT_PATH_LOST_AFTER) {
+            log("$consecutiveUnanswered consecutive direct calls got no response: starts are sent with heartbeat responses")
         }
         machine.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
-        // The call may be carried out minutes later: until the worker has seen a higher term, absence proves nothing.
+        // The call may be carried out minutes later: until the worker has seen a higher term, the absence of a task proves nothing.
         if (sent) machine.lease.recordUnacknowledged(call.term)
-        log("no answer from ${machine.id} to ${call.commands.size} commands of term ${call.term}; they go with its next heartbeat response")
+        log("${machine.id}: no response to ${call.commands.size} commands of term ${call.term}; they are sent with its next heartbeat response")
     }
 
     private companion object {
-        /** Unreachable machines that are probed at once. */
+        /** Unreachable machines that one call of [calls] probes at most. */
         const val MAX_CONCURRENT_PROBES = 2
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/FinalStates.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FinalStates.kt
@@ -3,8 +3,8 @@
 import mintfield.core.model.FinalState
 
 /**
- * A cache of final states, at most [capacity], that drops the least recently used first. It is a map of the JDK, and not Guava's cache,
- * which initialises `java.util.logging` and so makes starts slower. Not thread-safe.
+ * LRU cache of the final states of at most [capacity] jobs. It uses a JDK map because Guava's cache initialises `java.util.logging`,
+ * which slows down the start of the process. Not thread-safe.
  */
 class FinalStates(
     private val capacity: Int,
@@ -14,10 +14,10 @@
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, FinalState>) = size > capacity
         }
 
-    /** The final state of job [id], if it is cached. */
+    /** The final state of job [id], or null if it is not cached. */
     operator fun get(id: String): FinalState? = states[id]
 
-    /** Caches [state] as the final state of job [id]. */
+    /** Caches [state] as the final state of job [id]; evicts the least recently used entry if the cache is full. */
     operator fun set(
         id: String,
         state: FinalState,
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -16,24 +16,24 @@
 import mintfield.core.model.TaskStatus
 
 /**
- * Reconciles the plan with what workers report: moves attempts to the states that heartbeats show, records results, and releases
- * attempts that are proven to be gone. What is to be commanded in response is up to [CommandPlanner].
+ * Reconciles the plan with the heartbeats of workers: moves attempts to the reported states, records results, and releases attempts
+ * that are proven to have ended. [CommandPlanner] decides on the commands to send in response.
  *
- * Not thread-safe, like the [Cluster] that it changes.
+ * Not thread-safe, like [Cluster], which it modifies.
  */
 class HeartbeatReconciler(
     private val cluster: Cluster,
     private val log: (String) -> Unit,
 ) {
-    /** Notified of each success and failure. */
+    /** Receives each success and failure of a task. */
     val failureAttribution = FailureAttribution(cluster, log)
 
     /**
-     * Takes in [heartbeat], received at [nowMs] (steady milliseconds). False if it is not newer than what is known of [machine]; then
-     * nothing changes.
+     * Processes [heartbeat], received at [nowMs] (steady milliseconds). Returns false and changes nothing if it is not newer than the
+     * last one of [machine].
      *
-     * [viaHeartbeat] distinguishes a worker's own heartbeat from the response to a direct command: only a heartbeat proves that the starts in
-     * the response to the one before it were either carried out or dropped.
+     * [viaHeartbeat]: whether the worker sent it unprompted, as opposed to in a response to a direct command. Only an unprompted heartbeat
+     * proves that the starts in the response to the previous one were either carried out or dropped.
      */
     fun reconcile(
         machine: Machine,
@@ -44,7 +44,7 @@
         if (!machine.heartbeats.isSucceededBy(heartbeat)) return false
         updateReachability(machine, heartbeat, viaHeartbeat, nowMs)
         if (heartbeat.incarnation > machine.incarnation) startIncarnation(machine, heartbeat, nowMs)
-        // Decoders keep a list of tasks that has not changed, so that the same list need not be reconciled twice.
+        // Decoders reuse the instance of an unchanged list of tasks, so an identical list is not reconciled twice.
         val unchanged = machine.occupancy.reconciled && heartbeat.tasks === machine.lastHeartbeat?.tasks
         update(machine, heartbeat, nowMs)
         if (unchanged) return true
@@ -82,11 +82,11 @@
             val doublings = minOf(reachability.episodes, WorkerConstants.MAX_REACHABLE_BACKOFF_DOUBLINGS)
             val backoffMs = WorkerConstants.REACHABLE_BACKOFF_MS shl doublings
             machine.failureRecord.backOffUntil(nowMs + backoffMs)
-            log("${machine.id}: reachable again, new tasks in $backoffMs ms")
+            log("${machine.id}: reachable again, no new tasks for $backoffMs ms")
         }
     }
 
-    /** The worker's lease has expired, and with it everything on the machine is gone. */
+    /** Starts a new incarnation: the worker's lease has expired, and with it all tasks on the machine have ended. */
     private fun startIncarnation(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -129,19 +129,20 @@
         for (attempt in machine.attempts.toList()) {
             val status = reported[cluster.taskId(attempt)]
             if (status != null && status.attempt == attempt.number) {
-                present(attempt, status, nowMs)
+                reconcileReported(attempt, status, nowMs)
             } else if (viaHeartbeat) {
-                absent(attempt, provesAbsence, nowMs)
+                reconcileMissing(attempt, provesAbsence, nowMs)
             }
         }
         for (status in heartbeat.tasks) {
-            if (status.state == TaskState.ENDED && status.cause == ExitReason.DONE) completed(status, nowMs)
+            if (status.state == TaskState.ENDED && status.cause == ExitReason.DONE) recordCompletion(status, nowMs)
         }
     }
 
     /**
-     * The leader of another shard, which owns the machine of [attempt], has reported what a heartbeat shows of the attempt: [status], or
-     * null if it is absent. That worker has seen the owner's token, so that no start of this leader can be carried out there any more.
+     * Processes the status of [attempt] as reported by the leader of another shard that owns the machine of the attempt: [status], or
+     * null if the heartbeat lacks the attempt. The worker has seen the owner's fencing token, so it no longer carries out any start sent
+     * by this leader.
      */
     fun statusFromOwner(
         attempt: Attempt,
@@ -149,15 +150,15 @@
         nowMs: Long,
     ) {
         if (status == null) {
-            cluster.release(attempt, nowMs, "absent, by the machine's owner")
+            cluster.release(attempt, nowMs, "absent, reported by the machine's owner")
         } else {
-            present(attempt, status, nowMs)
+            reconcileReported(attempt, status, nowMs)
         }
     }
 
     /**
-     * Whether a start of a cancelled job that got no response may still be carried out on [machine]. Only a higher term rules that
-     * out, which a leader past its lease cannot get.
+     * Whether an unanswered start of a cancelled job may still be carried out on [machine]. Only a higher term rules it out, and a leader
+     * whose lease has expired cannot obtain one.
      */
     fun mayStartCancelled(
         machine: Machine,
@@ -167,7 +168,7 @@
         return machine.attempts.any { attempt -> attempt.job.cancelled && heartbeat.tasks.none { it.task == cluster.taskId(attempt) } }
     }
 
-    private fun present(
+    private fun reconcileReported(
         attempt: Attempt,
         status: TaskStatus,
         nowMs: Long,
@@ -175,18 +176,18 @@
         attempt.startSent = true
         when (status.state) {
             TaskState.PULLING -> if (attempt.state != AttemptState.STOPPING) attempt.moveTo(AttemptState.PULLING, nowMs)
-            TaskState.RUNNING, TaskState.CHECKPOINTING -> running(attempt, nowMs)
-            TaskState.ENDED -> ended(attempt, status.cause ?: ExitReason.UNKNOWN, nowMs)
+            TaskState.RUNNING, TaskState.CHECKPOINTING -> reconcileRunning(attempt, nowMs)
+            TaskState.ENDED -> reconcileEnded(attempt, status.cause ?: ExitReason.UNKNOWN, nowMs)
         }
     }
 
-    private fun running(
+    private fun reconcileRunning(
         attempt: Attempt,
         nowMs: Long,
     ) {
         val spec = attempt.job.spec
         if (attempt.state == AttemptState.PULLING && spec.shape == Shape.SERVICE) {
-            log("${spec.id}/${attempt.index} runs on ${attempt.machine.id} after ${nowMs - attempt.changedAtMs} ms for its image")
+            log("${spec.id}/${attempt.index}: running on ${attempt.machine.id} after waiting ${nowMs - attempt.changedAtMs} ms for its image")
         }
         attempt.machine.images.markPresent(spec.image, spec.imageGb)
         when (attempt.state) {
@@ -198,61 +199,61 @@
         }
     }
 
-    private fun ended(
+    private fun reconcileEnded(
         attempt: Attempt,
         cause: ExitReason,
         nowMs: Long,
     ) {
         when (cause) {
-            ExitReason.DONE -> succeeded(attempt, nowMs)
+            ExitReason.DONE -> recordSuccess(attempt, nowMs)
             ExitReason.STOPPED -> cluster.release(attempt, nowMs, "stopped")
-            ExitReason.GANG_INCOMPLETE -> cluster.release(attempt, nowMs, "others of its gang are missing")
-            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> refused(attempt, cause, nowMs)
-            ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> failed(attempt, cause, nowMs)
+            ExitReason.GANG_INCOMPLETE -> cluster.release(attempt, nowMs, "gang incomplete")
+            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> recordRejection(attempt, cause, nowMs)
+            ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> recordFailure(attempt, cause, nowMs)
         }
     }
 
-    private fun succeeded(
+    private fun recordSuccess(
         attempt: Attempt,
         nowMs: Long,
     ) {
         val job = attempt.job
         attempt.machine.images.markPresent(job.spec.image, job.spec.imageGb)
-        failureAttribution.succeeded(job, attempt.machine, nowMs)
+        failureAttribution.recordSuccess(job, attempt.machine, nowMs)
         if (attempt.state == AttemptState.RUNNING) cluster.runTimes.learn(job, (nowMs - attempt.changedAtMs) / TimeUnits.MS_PER_SECOND.toDouble())
         cluster.markDone(job, attempt.index, nowMs)
         cluster.release(attempt, nowMs, Cluster.DONE)
     }
 
-    private fun refused(
+    private fun recordRejection(
         attempt: Attempt,
         cause: ExitReason,
         nowMs: Long,
     ) {
         val machine = attempt.machine
-        cluster.release(attempt, nowMs, "refused: $cause")
+        cluster.release(attempt, nowMs, "rejected by the worker: $cause")
         machine.failureRecord.backOffUntil(nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
     }
 
-    private fun failed(
+    private fun recordFailure(
         attempt: Attempt,
         cause: ExitReason,
         nowMs: Long,
     ) {
         val ranMs = if (attempt.state == AttemptState.RUNNING) nowMs - attempt.changedAtMs else 0L
         cluster.release(attempt, nowMs, "failed: $cause after $ranMs ms")
-        failureAttribution.failed(attempt.job, attempt.machine, ranMs, nowMs)
+        failureAttribution.recordFailure(attempt.job, attempt.machine, ranMs, nowMs)
     }
 
-    /** A heartbeat lacks [attempt]. One that was never seen may be on its way; one that was seen is gone, if that is proven. */
-    private fun absent(
+    /** Handles an [attempt] that is missing from a heartbeat. The start of one never reported may be in flight; others are released on proof. */
+    private fun reconcileMissing(
         attempt: Attempt,
         provesAbsence: Boolean,
         nowMs: Long,
     ) {
         val proof =
             when (attempt.state) {
-                AttemptState.PULLING, AttemptState.RUNNING -> "vanished"
+                AttemptState.PULLING, AttemptState.RUNNING -> "no longer reported"
                 AttemptState.STOPPING -> "absent"
                 else -> return
             }
@@ -263,8 +264,8 @@
         }
     }
 
-    /** A result counts whichever attempt reached it, also one that is not planned any more. */
-    private fun completed(
+    /** Records the success of a task, whichever attempt achieved it, including one that is no longer planned. */
+    private fun recordCompletion(
         status: TaskStatus,
         nowMs: Long,
     ) {
@@ -272,6 +273,6 @@
         val index = status.task.index
         if (index >= job.spec.tasks || job.progress.isDone(index)) return
         cluster.markDone(job, index, nowMs)
-        job.attempt(index)?.let { cluster.stop(it, nowMs, "done elsewhere") }
+        job.attempt(index)?.let { cluster.stop(it, nowMs, "completed by another attempt") }
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -5,29 +5,29 @@
 import mintfield.core.model.Priority
 import mintfield.core.model.Shape
 
-/** An unfinished job as its leader knows it. Not thread-safe. */
+/** The state that a leader keeps of an unfinished job. Not thread-safe. */
 class Job(
     accepted: AcceptedJob,
 ) {
     val spec: JobSpec = accepted.spec
     val id: String get() = spec.id
 
-    /** When it was accepted, time of day in milliseconds. */
+    /** Time of day at which the job was accepted, in milliseconds. */
     val acceptedAtMs: Long = accepted.acceptedAtMs
 
-    /** Names of the machine types that its tasks may run on. */
+    /** Names of the machine types on which its tasks may run. */
     val compatibleTypes: Set<String> = accepted.compatibleTypes.toSet()
 
-    /** Its tasks whose state the store does not have. */
+    /** Its tasks whose current state is not written to the store yet. */
     val unwritten = UnwrittenTasks()
 
-    /** The state of its tasks. */
+    /** Which tasks are done, have an attempt or wait. */
     val progress = TaskProgress(spec.id, spec.tasks, unwritten)
 
     /** The round records that cover its tasks. */
     internal val coverage = RoundCoverage()
 
-    /** Its failures and its health. */
+    /** Failures of its tasks, and the health derived from them. */
     val failureRecord = JobFailureRecord(this)
 
     // ---- its record in the store ----
@@ -36,32 +36,32 @@
     var revision: Long = accepted.revision
         private set
 
-    /** Whether a user was told that it is cancelled, as its record or a peer says. */
+    /** Whether its cancellation was confirmed to the user, according to its record or to a peer. */
     var cancelled = accepted.cancelled
         private set
 
     /**
-     * Whether its record says that it is cancelled; only then has it a final state, and its record may go. A peer may tell sooner, and
-     * of a job that is cancelled with a predecessor before anything of that is written.
+     * Whether its record states that it is cancelled; only then does it have a final state, and its record may be deleted. A peer may
+     * report a cancellation earlier, also that of a job cancelled with a predecessor before the store records it.
      */
     var cancellationRecorded = accepted.cancelled
         private set
 
-    /** Whether its final state has been written, or its record has changed in a way not read yet: nothing is planned or written for it. */
+    /** Whether its final state has been written, or its record has a change not read yet: nothing is planned or written for it. */
     var finishing = false
         private set
 
-    /** One of its records could not be read; it is kept as it is, and gets nothing new. */
+    /** Whether one of its records cannot be decoded: the records are kept unchanged, and no new ones are written for the job. */
     var unreadable = false
 
-    /** Its record was read anew, at a higher revision. Whether it is cancelled is changed by [cancel] alone. */
+    /** Applies its record, read again at a higher revision. Does not change [cancelled], which only [cancel] sets. */
     fun recordChanged(accepted: AcceptedJob) {
         revision = accepted.revision
         finishing = false
         cancellationRecorded = accepted.cancelled
     }
 
-    /** A user was told that it is cancelled. Final. */
+    /** Sets [cancelled], which is final: the cancellation was confirmed to the user. */
     fun cancel() {
         cancelled = true
     }
@@ -73,30 +73,31 @@
 
     // ---- dependencies ----
 
-    /** Whether all its predecessors are done; before that it asks for nothing. */
+    /** Whether all its predecessors are done; until then it has no demand. */
     var ready = spec.predecessors.isEmpty()
         private set
 
-    /** Time of day in milliseconds from which it could start: that of its acceptance, or of its last predecessor's end. */
+    /** Time of day in milliseconds at which it could start: its acceptance or the end of its last predecessor, whichever is later. */
     var readySinceMs = acceptedAtMs
         private set
 
-    /** The highest of its own priority and those of the jobs that depend on it. */
+    /** The highest among its own priority and the priorities of the jobs that depend on it. */
     var priority: Priority = spec.priority
 
     /** Whether it must start now for the jobs that depend on it to meet their deadlines. */
     var deadlineCritical = false
 
-    /** When it must be done for the jobs that depend on it to meet their deadlines, time of day in milliseconds. */
+    /** Time of day in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
     var inheritedDueMs: Double? = null
 
     /**
-     * The priority with which it preempts others: its own, unless it is deadline-critical. Capacity comes free all the time, and a job
-     * of high inherited priority is the first to get it; to preempt for a job that can wait a few seconds costs more than it gains.
+     * The priority with which it preempts others: its own, or the inherited one if it is deadline-critical. Capacity is freed
+     * continuously, and a job of high inherited priority gets it first; preempting for a job that can wait a few seconds costs more than
+     * it gains.
      */
-    val displacingPriority: Priority get() = if (deadlineCritical) priority else spec.priority
+    val preemptionPriority: Priority get() = if (deadlineCritical) priority else spec.priority
 
-    /** Its predecessors have been done since [sinceMs], a time of day in milliseconds; 0 if that is not known. */
+    /** Sets [ready]: all predecessors have been done since [sinceMs], a time of day in milliseconds, or 0 if unknown. */
     fun becomeReady(sinceMs: Long) {
         if (ready) return
         ready = true
@@ -105,13 +106,13 @@
 
     // ---- times ----
 
-    /** When this leader first knew of it, or found it ready, in steady milliseconds. */
+    /** When this leader first read the job or found it ready, in steady milliseconds. */
     var firstSeenAtMs = 0L
 
-    /** When a task of it was last planned, in steady milliseconds. */
+    /** When one of its tasks was last planned, in steady milliseconds. */
     var lastPlanAtMs = 0L
 
-    /** When a task of it was last seen to begin to run, in steady milliseconds. */
+    /** When a heartbeat last showed that one of its tasks had started to run, in steady milliseconds. */
     var lastRunAtMs = 0L
 
     /** Completed tasks whose run time was measured. */
@@ -119,10 +120,10 @@
         private set
     private var measuredS = 0.0
 
-    /** Mean run time of the measured tasks, in seconds. Only to be asked for if there are any. */
+    /** Mean run time of the measured tasks, in seconds; NaN if [measuredTasks] is 0. */
     val meanRunS: Double get() = measuredS / measuredTasks
 
-    /** A task has completed after running for [seconds]. */
+    /** Adds the run time of a completed task, in seconds. */
     fun addRunTime(seconds: Double) {
         measuredTasks++
         measuredS += seconds
@@ -130,22 +131,22 @@
 
     // ---- placement ----
 
-    /** Whether it was placed ahead of others to meet a strict objective; what its tasks hold counts towards the limit for such jobs. */
-    var boosted = false
+    /** Whether it is placed ahead of all others to meet a strict objective; the CPUs of its tasks count towards the limit for expedited jobs. */
+    var expedited = false
 
     val health: JobHealth get() = failureRecord.health
 
-    /** The machines that have ever failed a task of it. */
+    /** Ids of the machines on which a task of the job has ever failed. */
     val failedOn: Set<String> get() = failureRecord.failedOn
 
-    /** No task is planned before this moment, in steady milliseconds. */
+    /** Time before which none of its tasks is planned, in steady milliseconds. */
     var notBeforeMs = 0L
         private set
 
-    /** The most tasks that it may have at once after its failures. */
+    /** The maximum number of planned tasks in view of its failures. */
     private var failureCap = Int.MAX_VALUE
 
-    /** What [failureRecord] permits has changed. It is kept here since each round reads it of every job. */
+    /** Applies the limits set by [failureRecord]. They are copied to this class because each round reads them for every job. */
     internal fun limitStarts(
         notBeforeMs: Long,
         failureCap: Int,
@@ -154,17 +155,17 @@
         this.failureCap = failureCap
     }
 
-    /** The zone that its next task must be in, if there is one: that of its specification, or of its other tasks if all must share one. */
+    /** The zone required for its next task, or null: the zone of its specification, or of its other tasks if all must share one. */
     val boundZone: String?
         get() {
             if (spec.zone != null || !spec.oneZone) return spec.zone
             return activeAttempts.firstOrNull()?.machine?.zone
         }
 
-    /** The most tasks that it may have at once. A gang is planned as a whole. */
+    /** The maximum number of planned tasks; unlimited for a gang, which is planned as a whole. */
     private val concurrencyCap: Int get() = if (spec.shape == Shape.GANG) Int.MAX_VALUE else failureCap
 
-    /** How many tasks may be planned now. */
+    /** Number of tasks that may be planned now. */
     val schedulableTasks: Int
         get() {
             if (!ready) return 0
@@ -172,7 +173,7 @@
             return if (cap == Int.MAX_VALUE) waitingCount else minOf(waitingCount, maxOf(0, cap - activeAttempts.size))
         }
 
-    /** How many tasks capacity should be provided for: a suspect job needs it for its probes only. */
+    /** Number of tasks for which capacity should be provided: for a suspect job, only that of its probes. */
     val demand: Int
         get() =
             when {
@@ -183,30 +184,30 @@
 
     // ---- tasks ----
 
-    /** Its attempts that are not released. */
+    /** Its unreleased attempts. */
     val activeAttempts: Collection<Attempt> get() = progress.activeAttempts
 
-    /** How many of its tasks are done. */
+    /** Number of tasks that are done. */
     val doneTasks: Int get() = progress.doneCount
 
-    /** How many of its tasks are neither done nor planned. */
+    /** Number of tasks that are neither done nor planned. */
     val waitingCount: Int get() = progress.waitingCount
 
     /** Whether all its tasks are done. */
     val allDone: Boolean get() = progress.isComplete
 
-    /** Whether any of its tasks is done, or is planned now. */
-    val begun: Boolean get() = doneTasks > 0 || activeAttempts.isNotEmpty()
+    /** Whether any of its tasks is done or has an unreleased attempt. */
+    val hasStartedTasks: Boolean get() = doneTasks > 0 || activeAttempts.isNotEmpty()
 
-    /** Whether a plan waits to be written before its start may be sent. */
+    /** Whether any of its attempts must be written to the store before its start may be sent. */
     val planning: Boolean get() = count(AttemptState.PLANNING) > 0
 
-    /** The attempt of task [index] that is not released, if there is one. */
+    /** The unreleased attempt of task [index], or null. */
     fun attempt(index: Int): Attempt? = progress.attempt(index)
 
-    /** How many of its attempts are in [state]. */
+    /** Number of its attempts in [state]. */
     fun count(state: AttemptState): Int = progress.count(state)
 
-    /** Up to [most] tasks that are neither done nor planned, in order. */
-    fun waiting(most: Int): List<Int> = progress.waiting(most)
+    /** The first [limit] tasks that are neither done nor planned, in ascending order. */
+    fun waiting(limit: Int): List<Int> = progress.waiting(limit)
 }
--- a/src/main/kotlin/mintfield/core/jobs/JobChange.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobChange.kt
@@ -2,12 +2,12 @@
 
 import mintfield.core.model.FinalState
 
-/** One change of the store that concerns a job. */
+/** A change in the store that concerns one job. */
 sealed interface JobChange {
     /** Id of the job. */
     val id: String
 
-    /** The store's revision of the change. */
+    /** Store revision of the change. */
     val revision: Long
 
     /** The record of an unfinished job was written. */
--- a/src/main/kotlin/mintfield/core/jobs/JobFailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobFailureRecord.kt
@@ -4,8 +4,8 @@
 import mintfield.core.fleet.Machine
 
 /**
- * The failures of one job, its health and when it may be tried again: a circuit breaker that probes a suspect job, half-open, with
- * few tasks. [FailureAttribution] decides on its changes.
+ * Failures and health of one job, and the time of its next retry: a circuit breaker that probes a suspect job with few tasks, as in
+ * the half-open state. [FailureAttribution] decides on state changes.
  */
 class JobFailureRecord(
     private val job: Job,
@@ -13,31 +13,31 @@
     private val machines = HashSet<String>()
     private val unattributed = HashMap<Machine, Int>()
 
-    /** What is known of the job. */
+    /** The health of the job, changed by [becomeSuspect], [becomeHealthy] and [restoreSuspect]. */
     var health = JobHealth.UNKNOWN
         private set
 
-    /** Failures since the last success. */
+    /** Number of failures since the last success. */
     var failures = 0
         private set
 
-    /** Probes since the job became suspect. */
+    /** Number of failed probes since the job became suspect. */
     var probes = 0
         private set
 
-    /** The longest that a task was seen to run before it failed, in milliseconds. */
+    /** Longest observed run time of a failed task, in milliseconds. */
     var longestFailMs = 0L
         private set
 
     private var notBeforeMs = 0L
 
-    /** The machines that have ever failed a task of the job. */
+    /** Ids of the machines on which a task of the job has ever failed. */
     val failedOn: Set<String> get() = machines
 
-    /** While the health is [JobHealth.UNKNOWN]: the machines that failed the job, and how often. */
+    /** Number of failures by machine that are attributed neither to the machine nor to the job; empty unless the health is [JobHealth.UNKNOWN]. */
     val unattributedFailures: Map<Machine, Int> get() = unattributed
 
-    /** The most tasks that the job may have at once: few while it has only failed. */
+    /** The maximum number of planned tasks: few while the job has only failed. */
     private val concurrencyCap: Int
         get() =
             when {
@@ -46,13 +46,13 @@
                 else -> Int.MAX_VALUE
             }
 
-    /** A task has succeeded. */
+    /** Records a success, which resets [failures]. */
     fun recordSuccess() {
         failures = 0
         limitStarts()
     }
 
-    /** A task has failed on [machine], [ranMs] after it was first seen to run. */
+    /** Records a failure on [machine], [ranMs] milliseconds after a heartbeat first showed the task running; delays the next start. */
     fun recordFailure(
         machine: Machine,
         ranMs: Long,
@@ -65,15 +65,15 @@
         limitStarts()
     }
 
-    /** The last failure may be the job's or that of [machine]. */
+    /** Counts a failure on [machine] of which the cause may be the job or the machine. */
     fun addUnattributed(machine: Machine) {
         unattributed.merge(machine, 1, Int::plus)
     }
 
-    /** The failures that were not attributed, which are forgotten here, have been. */
+    /** Clears [unattributedFailures], after the failures have been attributed. */
     fun clearUnattributed() = unattributed.clear()
 
-    /** A probe has failed: the next is made later, at twice the interval. */
+    /** Records a failed probe, which doubles the interval until the next one, up to a maximum. */
     fun probeFailed(nowMs: Long) {
         val backoffMs = PlacementConstants.PROBE_BACKOFF_MS shl minOf(probes, MAX_BACKOFF_DOUBLINGS)
         probes++
@@ -81,27 +81,27 @@
         limitStarts()
     }
 
-    /** The job has become suspect. */
+    /** Marks the job suspect and delays its first probe. */
     fun becomeSuspect(nowMs: Long) {
         notBeforeMs = nowMs + PlacementConstants.PROBE_BACKOFF_MS
         moveTo(JobHealth.SUSPECT)
     }
 
-    /** The job can succeed. */
+    /** Marks the job healthy and lifts its limits. */
     fun becomeHealthy(nowMs: Long) {
         notBeforeMs = nowMs
         moveTo(JobHealth.HEALTHY)
     }
 
-    /** An earlier leader had found the job suspect and made [probes] probes. */
+    /** Restores the state of an earlier leader, for which the job was suspect after [probes] probes. */
     fun restoreSuspect(probes: Int) {
         moveTo(JobHealth.SUSPECT)
         this.probes = probes
     }
 
-    /** The only place where the health changes. */
+    /** Changes the health; all changes go through this function. */
     private fun moveTo(next: JobHealth) {
-        check(next != JobHealth.UNKNOWN && health != next) { "${job.id}: $health to $next" }
+        check(next != JobHealth.UNKNOWN && health != next) { "${job.id}: health cannot change from $health to $next" }
         health = next
         probes = 0
         limitStarts()
@@ -110,7 +110,7 @@
     private fun limitStarts() = job.limitStarts(notBeforeMs, concurrencyCap)
 
     private companion object {
-        /** Times that the interval between probes is doubled at the most. */
+        /** Maximum number of times that the interval between probes is doubled. */
         const val MAX_BACKOFF_DOUBLINGS = 5
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/JobHealth.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobHealth.kt
@@ -1,13 +1,13 @@
 package mintfield.core.jobs
 
-/** What the ends of a job's tasks show of the job. */
+/** Health of a job, derived from the exits and run times of its tasks. */
 enum class JobHealth {
-    /** No task has succeeded, and too few have failed to tell. */
+    /** No task has succeeded, and too few have failed to attribute the failures. */
     UNKNOWN,
 
-    /** A task is done, or has run for much longer than others took to fail: failures are attributed to their machines. */
+    /** A task is done, or has run for much longer than the failed ones did: failures are attributed to their machines. */
     HEALTHY,
 
-    /** It fails on every machine, as a job submitted with a mistake does: it is probed with few tasks, at growing intervals. */
+    /** Fails on every machine, like a job submitted with a mistake: it is probed with few tasks at growing intervals. */
     SUSPECT,
 }
--- a/src/main/kotlin/mintfield/core/jobs/JobListener.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobListener.kt
@@ -3,11 +3,11 @@
 import mintfield.core.dependencies.DependencyListener
 import mintfield.core.model.AcceptedJob
 
-/** Is notified of the changes of a [JobReplica], after the replica shows them. */
+/** Listener for changes of a [JobReplica], called after each change is applied to the replica. */
 interface JobListener : DependencyListener {
-    /** The record of the unfinished [job] is new, or newer than before. */
+    /** The record of the unfinished [job] was created or updated. */
     fun changed(job: AcceptedJob)
 
-    /** The job [id] is not among the unfinished ones any more, or its record, which could not be read, is gone. */
+    /** The record of job [id] was removed: the job is no longer unfinished, or its unreadable record was deleted. */
     fun removed(id: String)
 }
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -6,57 +6,57 @@
 import mintfield.core.model.FinalState
 
 /**
- * This controller's replica of the jobs in the store: all unfinished ones, and a cache of final states.
+ * Replica of the jobs in the store, kept by each controller: all unfinished jobs, and a cache of final states.
  *
- * Changes and snapshots may be read by several requests at once and arrive in any order. Of each job the newest revision counts, so
- * that nothing is ever replaced by something older, and [revision] never falls. Not thread-safe.
+ * Changes and snapshots may be read by several concurrent requests and arrive in any order. The newest revision of each job wins, so
+ * newer state is never replaced by older state, and [revision] never decreases. Not thread-safe.
  */
 class JobReplica {
     private val liveJobs = HashMap<String, AcceptedJob>()
 
-    /** Revisions of the records that cannot be read. */
+    /** Revisions of the records that cannot be decoded, by job id. */
     private val unreadable = HashMap<String, Long>()
     private val finals = FinalStates(StoreConstants.MAX_CACHED_FINAL_STATES)
 
-    /** Revisions at which jobs were removed while a snapshot was being read, which may still hold them. */
+    /** Removal revisions, by job id, of the jobs removed while a snapshot was being read; the snapshot may still contain them. */
     private val removedAt = HashMap<String, Long>()
     private var openSnapshots = 0
 
-    /** The unfinished jobs whose records can be read, by id. */
+    /** The unfinished jobs whose records can be decoded, by id. */
     val live: Map<String, AcceptedJob> get() = liveJobs
 
-    /** The replica shows all changes of the store up to this revision. */
+    /** Store revision up to which all changes are applied. */
     var revision = 0L
         private set
 
-    /** False until a first snapshot is complete, and while the store has dropped the changes after [revision]. */
+    /** Whether the replica is complete: false until a first snapshot is complete, and while the store has compacted the changes after [revision]. */
     var loaded = false
         private set
 
-    /** The dependencies between these jobs. */
+    /** The dependencies between the jobs of the replica. */
     val dependencies = DependencyGraph(::known)
 
-    /** Is notified of each change, if set. */
+    /** Notified of each change, unless null. */
     var listener: JobListener? = null
         set(value) {
             field = value
             dependencies.listener = value
         }
 
-    /** What is known of the job [id]; a final state counts before a record, and both before what cannot be read. */
+    /** The known state of job [id], or null; a final state takes precedence over a record, and both over an unreadable record. */
     fun known(id: String): KnownJob? {
         finals[id]?.let { return KnownJob.Ended(it) }
         liveJobs[id]?.let { return KnownJob.Live(it) }
         return if (id in unreadable) KnownJob.Unreadable else null
     }
 
-    /** Whether the record of job [id] at [revision] is known as one that cannot be read. */
+    /** Whether the record of job [id] at [revision] is known to be unreadable. */
     fun isUnreadable(
         id: String,
         revision: Long,
     ) = unreadable[id] == revision
 
-    /** Caches the final state of job [id]. */
+    /** Caches the final state of job [id] and updates the jobs that depend on it. */
     fun ended(
         id: String,
         state: FinalState,
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Takes over [changes], which are all that were made after some revision not above [revision] and up to [upTo]. They may come
-     * in any order: the revision of each decides, not its place in the list.
+     * Applies [changes], which must be all changes of the store up to revision [upTo] that follow some revision not above [revision].
+     * They are applied in the order of their revisions, whatever their order in the list.
      */
     fun apply(
         changes: List<JobChange>,
@@ -78,24 +78,24 @@
         revision = maxOf(known, upTo)
     }
 
-    /** The store has dropped the changes after [asked]: a snapshot is needed, unless they have been read by another request. */
-    fun historyLost(asked: Long) {
-        if (asked >= revision) loaded = false
+    /** The store has compacted the changes after revision [requested]: a snapshot is required, unless another request has read them. */
+    fun historyCompacted(requested: Long) {
+        if (requested >= revision) loaded = false
     }
 
-    /** Begins the reading of a snapshot of all unfinished jobs, page by page. The caller closes it, whether or not it was completed. */
+    /** Opens a snapshot of all unfinished jobs, to be filled page by page. The caller must close it, whether or not it was completed. */
     fun beginSnapshot(): Snapshot {
         openSnapshots++
         return Snapshot()
     }
 
-    /** A snapshot of all unfinished jobs, as far as it has been read. Its pages may be read at different revisions. */
+    /** A partly or completely read snapshot of all unfinished jobs. Its pages may be read at different revisions. */
     inner class Snapshot internal constructor() : AutoCloseable {
         private val found = HashMap<String, JobRecord>()
         private var firstRevision: Long? = null
 
         /** Adds a page that was read at [revision]. */
-        fun page(
+        fun addPage(
             revision: Long,
             records: Map<String, JobRecord>,
         ) {
@@ -103,18 +103,18 @@
             found.putAll(records)
         }
 
-        /** All pages have been read: brings the replica to the revision of the first one, at least. Throws [IllegalStateException] without a page. */
+        /** Applies the snapshot, so that [revision] is at least that of the first page. Throws [IllegalStateException] without a page. */
         fun complete() {
-            val readAt = checkNotNull(firstRevision) { "a snapshot without a page" }
+            val readAt = checkNotNull(firstRevision) { "snapshot completed without a page" }
             found.forEach { (id, record) -> if (record.revision > (removedAt[id] ?: 0)) write(id, record) }
-            // A record written after the first page was read may be in no page; the changes to be read next tell of it.
+            // A record written after the first page was read may be in no page; it is among the changes that are read next.
             val removed = (liveJobs.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
             removed.forEach(::remove)
             revision = maxOf(revision, readAt)
             loaded = true
         }
 
-        /** Ends the reading. */
+        /** Ends the snapshot; removals are no longer tracked once no snapshot is open. */
         override fun close() {
             openSnapshots--
             if (openSnapshots == 0) removedAt.clear()
--- a/src/main/kotlin/mintfield/core/jobs/JournaledRound.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JournaledRound.kt
@@ -1,14 +1,14 @@
 package mintfield.core.jobs
 
-/** A round record in the store, with the chunks for which it is still needed. */
+/** A round record in the store and the chunks for which it is still needed. */
 class JournaledRound(
     val key: String,
-    /** Revision of its write. */
+    /** Store revision at which the record was written. */
     val revision: Long,
-    /** When it was written or replayed, in steady milliseconds. */
+    /** When the record was written or replayed, in steady milliseconds. */
     val writtenAtMs: Long,
 ) {
-    /** A chunk of a job. */
+    /** Chunk [number] of the job with id [job]. */
     data class Chunk(
         val job: String,
         val number: Int,
@@ -16,26 +16,26 @@
 
     private val needed = HashSet<Chunk>()
 
-    /** The chunks that no later record covers as a whole. */
+    /** The chunks of this record that no later record covers completely. */
     val neededFor: Set<Chunk> get() = needed
 
-    /** Whether later records cover all that this one does. */
+    /** Whether later records cover all chunks of this one. */
     val isObsolete: Boolean get() = needed.isEmpty()
 
-    /** Whether what it is needed for has been marked to be written again. */
+    /** Whether the chunks for which it is needed have been marked to be written again. */
     var rewriteRequested = false
         private set
 
-    /** It covers a part of chunk [chunk] of [job]. */
-    fun needFor(
+    /** Marks the record as needed for chunk [chunk] of [job], of which it covers at least a part. */
+    fun markNeededFor(
         job: Job,
         chunk: Int,
     ) {
         needed.add(Chunk(job.id, chunk))
     }
 
-    /** A later record covers all of chunk [chunk] of [job], or the job is gone. */
-    fun notNeededFor(
+    /** Marks the record as no longer needed for chunk [chunk] of [job]: a later one covers the chunk completely, or the job was removed. */
+    fun clearNeededFor(
         job: Job,
         chunk: Int,
     ) {
--- a/src/main/kotlin/mintfield/core/jobs/KnownJob.kt
+++ b/src/main/kotlin/mintfield/core/jobs/KnownJob.kt
@@ -3,18 +3,18 @@
 import mintfield.core.model.AcceptedJob
 import mintfield.core.model.FinalState
 
-/** What a controller knows of an accepted job. */
+/** State of an accepted job as known to a controller. */
 sealed interface KnownJob {
-    /** The job is done or cancelled, for ever. */
+    /** The job is done or cancelled, which is final. */
     data class Ended(
         val state: FinalState,
     ) : KnownJob
 
-    /** The job has a record of an unfinished job, which may say that it is cancelled. */
+    /** The job has a record of an unfinished job, which may state that the job is cancelled. */
     data class Live(
         val job: AcceptedJob,
     ) : KnownJob
 
-    /** The job was accepted, but its record cannot be read. */
+    /** The job was accepted, but this version of the program cannot decode its record. */
     data object Unreadable : KnownJob
 }
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -7,13 +7,13 @@
 import mintfield.core.fleet.Machine
 
 /**
- * The journal of plans and results in the store, a sequence of round records. Replays it after a failover, decides what the next
- * record must cover, and finds records that are not needed any more.
+ * Journal of plans and results in the store, a sequence of round records. Replays the records after a failover, selects the tasks that
+ * the next record must cover, and finds obsolete records.
  *
- * A record is needed for as long as it covers a chunk of an unfinished job that no later record covers as a whole. What an old
- * record still covers is written again with a later one, until nothing of it is needed.
+ * A record is needed as long as it covers a chunk of an unfinished job that no later record covers completely. The chunks for which an
+ * old record is needed are written again with later records, until it is obsolete.
  *
- * Not thread-safe, like the [Cluster] that it works on.
+ * Not thread-safe, like [Cluster].
  */
 class PlanJournal(
     private val cluster: Cluster,
@@ -21,19 +21,19 @@
 ) {
     private val obsolete = LinkedHashSet<String>()
 
-    /** Round records in the store that are needed, the oldest first. */
+    /** The needed round records in the store by key, the oldest first. */
     private val rounds = LinkedHashMap<String, JournaledRound>()
     private var number = 0L
 
-    /** Keys of records to be deleted when writes are to spare. A successor finds those that are left. */
+    /** Keys of obsolete records, to be deleted when spare writes are available. A later leader finds the remaining ones. */
     val obsoleteRounds: Set<String> get() = obsolete
 
     // ---- replay ----
 
     /**
-     * Replays a round record that was read at [revision]: takes its plans and results as facts, in place of what is known of the same
-     * tasks. Records must come in the order of their revisions, as the later one was written with proof. [keep]: something in the record
-     * cannot be read, so that it is never deleted.
+     * Replays a round record that was read at [revision]: its plans and results replace the known state of the same tasks. Records must be
+     * replayed in the order of their revisions, since a later record was written with proof that the plans it replaces are released.
+     * [keep]: whether a part of the record cannot be decoded, in which case the record is never deleted.
      */
     fun replay(
         key: String,
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A machine known only from a plan: its type is a guess until its heartbeats or the cloud's list give it. */
+    /** Adds a machine known only from a plan: its type is provisional until a heartbeat or the cloud's listing states it. */
     private fun unknownMachine(
         id: String,
         job: Job,
@@ -103,21 +103,21 @@
     // ---- writes ----
 
     /**
-     * Adds to [writes] records of what was planned, with all that changed since the last round; without plans, once something has
-     * waited for [patienceMs]. Returns how many writes were added, at most [room].
+     * Adds round records of all unwritten changes to [writes] if there are new plans, or if a change has been unwritten for [maxDelayMs].
+     * Returns the number of writes added, at most [maxWrites].
      */
     fun add(
         writes: MutableList<Write>,
-        room: Int,
-        patienceMs: Long,
+        maxWrites: Int,
+        maxDelayMs: Long,
         nowMs: Long,
     ): Int {
-        if (room <= 0) return 0
-        val open = cluster.jobs.values.filter { isOpen(it) }
-        if (open.none { isDue(it, patienceMs, nowMs) }) return 0
-        val order = open.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwritten.sinceMs })
+        if (maxWrites <= 0) return 0
+        val changed = cluster.jobs.values.filter { hasChangesToWrite(it) }
+        if (changed.none { isDue(it, maxDelayMs, nowMs) }) return 0
+        val order = changed.sortedWith(compareBy<Job>({ if (it.planning) 0 else 1 }, { it.priority }).thenBy { it.unwritten.sinceMs })
         val maxBytes = (cluster.limits.valueBytes * PlacementConstants.MAX_VALUE_FILL).toInt()
-        val records = RoundPacker.take(order, maxBytes, most = minOf(room, MAX_ROUND_VALUES), maxJobs())
+        val records = RoundPacker.pack(order, maxBytes, maxRecords = minOf(maxWrites, MAX_ROUND_VALUES), maxJobs())
         for (record in records) {
             val jobs = record.parts.mapTo(LinkedHashSet()) { it.job }.map { cluster.jobs.getValue(it) }
             number++
@@ -127,23 +127,23 @@
         return records.size
     }
 
-    private fun isOpen(job: Job): Boolean = !job.unwritten.isEmpty && !job.cancelled && !job.finishing && !job.unreadable && !job.allDone
+    private fun hasChangesToWrite(job: Job): Boolean = !job.unwritten.isEmpty && !job.cancelled && !job.finishing && !job.unreadable && !job.allDone
 
     private fun isDue(
         job: Job,
-        patienceMs: Long,
+        maxDelayMs: Long,
         nowMs: Long,
     ): Boolean {
         val sinceMs = job.unwritten.sinceMs
-        return job.planning || (sinceMs > 0 && nowMs - sinceMs >= patienceMs)
+        return job.planning || (sinceMs > 0 && nowMs - sinceMs >= maxDelayMs)
     }
 
-    /** Jobs that one transaction may touch: each needs a precondition, as do the leader key and each other write. */
+    /** Maximum number of jobs in one transaction: each needs a precondition, as do the leader key and each other write. */
     private fun maxJobs(): Int = cluster.limits.txnOps * (PlacementConstants.PRECONDITIONS_PER_WRITE - 1) - 1
 
     /**
-     * Marks what old records are still needed for as unwritten, so that the next rounds cover it and a successor has few records to
-     * read. It causes no write of its own.
+     * Marks the chunks for which old records are needed as unwritten, so that the next rounds cover them and a later leader has few
+     * records to read. Causes no additional writes.
      */
     fun refresh(nowMs: Long) {
         var left = MAX_REWRITES_AT_ONCE
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Some of [writes] were not written: what their records cover is unwritten again. */
+    /** Marks the tasks covered by the round records in [writes] as unwritten again: the writes failed, or their outcome is unknown. */
     fun putBack(
         writes: List<Write>,
         nowMs: Long,
@@ -175,7 +175,7 @@
         }
     }
 
-    /** The record of [write] was written at [revision]: its plans may be started, and its results are safe. */
+    /** Records that [write] was committed at [revision]: its plans may be started, and its results are durable. */
     fun written(
         write: Write.RecordRound,
         revision: Long,
@@ -187,7 +187,7 @@
             part.done.forEach { job.progress.recordDone(it) }
             part.plans.forEach { planWritten(job, it, nowMs) }
             cover(round, job, part.chunk)
-            if (part.full) superseded(job, part.chunk, revision)
+            if (part.full) removeCoverageBefore(job, part.chunk, revision)
         }
         track(round)
     }
@@ -204,14 +204,14 @@
         }
     }
 
-    // ---- records that are needed, and those that are not ----
+    // ---- needed and obsolete records ----
 
     private fun cover(
         round: JournaledRound,
         job: Job,
         chunk: Int,
     ) {
-        round.needFor(job, chunk)
+        round.markNeededFor(job, chunk)
         job.coverage.add(chunk, round)
     }
 
@@ -219,34 +219,34 @@
         if (round.isObsolete) obsolete.add(round.key) else rounds[round.key] = round
     }
 
-    /** [job] is gone from the store: no record is needed for it. */
-    fun jobRemoved(job: Job) = job.coverage.chunks.forEach { superseded(job, it, Long.MAX_VALUE) }
+    /** [job] was removed from the store: no record is needed for it any longer. */
+    fun jobRemoved(job: Job) = job.coverage.chunks.forEach { removeCoverageBefore(job, it, Long.MAX_VALUE) }
 
-    /** What records before [revision] cover of the chunk is not needed any more. */
-    private fun superseded(
+    /** Marks the records before [revision] as no longer needed for [chunk] of [job]. */
+    private fun removeCoverageBefore(
         job: Job,
         chunk: Int,
         revision: Long,
     ) = job.coverage.removeBefore(chunk, revision) { round ->
-        round.notNeededFor(job, chunk)
+        round.clearNeededFor(job, chunk)
         if (round.isObsolete && rounds.remove(round.key) != null) obsolete.add(round.key)
     }
 
-    /** The record [key], of which it is not known whether it was written, is to be deleted. */
+    /** Schedules the deletion of record [key], of which it is unknown whether it was written. */
     fun deleteLater(key: String) {
         obsolete.add(key)
     }
 
-    /** The record [key] was deleted. */
+    /** Records that the record [key] was deleted. */
     fun deleted(key: String) {
         obsolete.remove(key)
     }
 
     private companion object {
-        /** Old records whose chunks are marked as unwritten at once. */
+        /** Maximum number of old records whose chunks one call of [refresh] marks as unwritten. */
         const val MAX_REWRITES_AT_ONCE = 2
 
-        /** Round records in one transaction. */
+        /** Maximum number of round records in one transaction. */
         const val MAX_ROUND_VALUES = 4
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/PlannedCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlannedCommands.kt
@@ -3,20 +3,20 @@
 import mintfield.core.model.WorkerCommand
 
 /**
- * The commands that answer one heartbeat, sorted by what they do.
+ * The commands for one worker, sorted by kind.
  *
- * A worker executes commands in order. Stops come first, then acknowledgements, then starts, so that a start finds the resources
- * that a stop has freed.
+ * A worker executes commands in order. Stops come first, then acknowledgements, then starts, so that resources freed by a stop are
+ * available to a start.
  */
 internal class PlannedCommands {
     private val stops = ArrayList<WorkerCommand.Stop>()
     private val acknowledgements = ArrayList<WorkerCommand.Acknowledge>()
     private val starts = ArrayList<WorkerCommand.Start>()
 
-    /** Whether there is nothing to command. */
+    /** Whether there are no commands. */
     val isEmpty: Boolean get() = stops.isEmpty() && acknowledgements.isEmpty() && starts.isEmpty()
 
-    /** Adds [command] to those of its kind. */
+    /** Adds [command] after the others of its kind. */
     fun add(command: WorkerCommand) {
         when (command) {
             is WorkerCommand.Stop -> stops.add(command)
@@ -25,11 +25,11 @@
         }
     }
 
-    /** All commands in the order of their execution. Those beyond [MAX_COMMANDS] are left for the next heartbeat. */
+    /** The commands in the order of execution, at most [MAX_COMMANDS]. The remaining ones are decided again after the next heartbeat. */
     fun inOrder(): List<WorkerCommand> = (stops + acknowledgements + starts).take(MAX_COMMANDS)
 
     private companion object {
-        /** Commands in one response, which keeps its line within the protocol's limit of 64 KiB. */
+        /** Maximum number of commands in one response; keeps its line within the protocol's limit of 64 KiB. */
         const val MAX_COMMANDS = 500
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/PlannedGroup.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlannedGroup.kt
@@ -1,9 +1,9 @@
 package mintfield.core.jobs
 
-/** The tasks of one job that are planned on one machine with the same attempt number, as a round record holds them. */
+/** Entry of a round record: the tasks of one job that are planned on one machine with the same attempt number. */
 data class PlannedGroup(
     val machine: String,
-    /** The worker's incarnation in which they were planned. */
+    /** The worker's incarnation for which they were planned. */
     val incarnation: Long,
     val attempt: Long,
     /** Numbers of the tasks within the job. */
--- a/src/main/kotlin/mintfield/core/jobs/RoundCoverage.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundCoverage.kt
@@ -1,13 +1,13 @@
 package mintfield.core.jobs
 
-/** The round records in the store that cover tasks of one job, by chunk. */
+/** Index of the round records in the store that cover tasks of one job, by chunk. */
 internal class RoundCoverage {
     private val rounds = HashMap<Int, MutableSet<JournaledRound>>()
 
-    /** The chunks that any record covers, as a copy. */
+    /** Copy of the list of chunks that are covered by at least one record. */
     val chunks: List<Int> get() = rounds.keys.toList()
 
-    /** [round] covers a part of [chunk]. */
+    /** Adds [round] as a record that covers at least a part of [chunk]. */
     fun add(
         chunk: Int,
         round: JournaledRound,
@@ -15,16 +15,16 @@
         rounds.getOrPut(chunk) { HashSet() }.add(round)
     }
 
-    /** Removes the rounds of [chunk] that are older than [revision], and passes each to [removed]. */
+    /** Removes the records of [chunk] that are older than [revision], and passes each to [onRemoved]. */
     fun removeBefore(
         chunk: Int,
         revision: Long,
-        removed: (JournaledRound) -> Unit,
+        onRemoved: (JournaledRound) -> Unit,
     ) {
         val ofChunk = rounds[chunk] ?: return
         ofChunk.removeAll { round ->
             val old = round.revision < revision
-            if (old) removed(round)
+            if (old) onRemoved(round)
             old
         }
         if (ofChunk.isEmpty()) rounds.remove(chunk)
--- a/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
@@ -1,55 +1,58 @@
 package mintfield.core.jobs
 
 /**
- * Packs what changed in jobs into round records. Rounds are written as they are decided, each as one value for all of its jobs,
+ * Packs the unwritten changes of jobs into round records. Each round is written when it is decided, as one value for all of its jobs,
  * since the store permits few writes.
  *
- * Sizes are estimated in characters, which are bytes: ids and numbers are ASCII.
+ * Sizes are estimated in characters, which equal bytes, since ids and numbers are ASCII.
  */
 object RoundPacker {
-    /** Takes what changed in [jobs], whole chunks in order, into at most [most] records of at most [maxBytes], for at most [maxJobs] jobs. */
-    fun take(
+    /**
+     * Packs the unwritten changes of at most [maxJobs] of the [jobs], chunk by chunk and in order, into at most [maxRecords] records of at
+     * most [maxBytes], and removes the packed tasks from [Job.unwritten].
+     */
+    fun pack(
         jobs: List<Job>,
         maxBytes: Int,
-        most: Int,
+        maxRecords: Int,
         maxJobs: Int,
     ): List<RoundRecord> {
-        val records = RecordBuilder(maxBytes, most)
-        val takenJobs = HashSet<String>()
+        val records = RecordBuilder(maxBytes, maxRecords)
+        val packedJobs = HashSet<String>()
         for (job in jobs) {
-            if (job.id !in takenJobs && takenJobs.size >= maxJobs) break
+            if (job.id !in packedJobs && packedJobs.size >= maxJobs) break
             val unwritten = job.unwritten
             var index = unwritten.nextFrom(0)
             while (index >= 0) {
                 val sized = part(job, TaskChunks.of(index), maxBytes - RECORD_BYTES)
                 if (!records.add(sized)) return records.complete()
                 sized.part.indices.forEach(unwritten::remove)
-                takenJobs.add(job.id)
+                packedJobs.add(job.id)
                 index = unwritten.nextFrom(index)
             }
         }
         return records.complete()
     }
 
-    /** Puts back what a record that was not written had taken. */
+    /** Marks the tasks of [part] as unwritten again, after the write of its record has failed. */
     fun putBack(
         job: Job,
         part: RoundPart,
     ) = part.indices.forEach(job.unwritten::add)
 
-    /** The records taken so far, at most [most], each of at most [maxBytes]. */
+    /** Builds at most [maxRecords] records of at most [maxBytes] each. */
     private class RecordBuilder(
         private val maxBytes: Int,
-        private val most: Int,
+        private val maxRecords: Int,
     ) {
         private val closed = ArrayList<RoundRecord>()
         private var parts = ArrayList<RoundPart>()
         private var bytes = RECORD_BYTES
 
-        /** Adds [sized] to the open record, or to a new one. False if it would be one too many; then nothing is added. */
+        /** Adds [sized] to the open record, or to a new one if it does not fit. Returns false and adds nothing if the limit of records is reached. */
         fun add(sized: SizedPart): Boolean {
             if (bytes + sized.bytes > maxBytes) close()
-            if (closed.size >= most) return false
+            if (closed.size >= maxRecords) return false
             parts.add(sized.part)
             bytes += sized.bytes
             return true
@@ -73,27 +76,27 @@
         val bytes: Int,
     )
 
-    /** What the tasks of a [PlannedGroup] have in common. */
+    /** The fields shared by all tasks of a [PlannedGroup]. */
     private data class GroupKey(
         val machine: String,
         val incarnation: Long,
         val attempt: Long,
     )
 
-    /** What changed in a chunk, or as much of it as [maxBytes] hold. */
+    /** The unwritten changes of a chunk, or the first of them that fit [maxBytes]. */
     private fun part(
         job: Job,
         chunk: Int,
         maxBytes: Int,
     ): SizedPart {
-        val base = chunk * TaskChunks.TASKS
+        val base = chunk * TaskChunks.TASKS_PER_CHUNK
         val progress = job.progress
         val groups = LinkedHashMap<GroupKey, MutableList<Int>>()
         val done = ArrayList<Int>()
         val released = ArrayList<Int>()
         var bytes = job.id.length + PART_BYTES
         var index = job.unwritten.nextFrom(base)
-        while (index >= 0 && index < base + TaskChunks.TASKS && bytes + GROUP_BYTES < maxBytes) {
+        while (index >= 0 && index < base + TaskChunks.TASKS_PER_CHUNK && bytes + GROUP_BYTES < maxBytes) {
             val attempt = progress.attempt(index)
             if (progress.isDone(index)) {
                 done.add(index)
@@ -112,15 +115,15 @@
         return SizedPart(RoundPart(job.id, chunk, plans, done, released, full), bytes)
     }
 
-    /** Characters of a record besides its parts. */
+    /** Size of a record without its parts. */
     private const val RECORD_BYTES = 20
 
-    /** Characters of a part besides its job's id, its groups and its indices. */
+    /** Size of a part without its job id, groups and indices. */
     private const val PART_BYTES = 24
 
-    /** Characters of a group besides its machine's id and its indices. */
+    /** Size of a group without its machine id and indices. */
     private const val GROUP_BYTES = 40
 
-    /** Characters of a number in a list of ranges with its comma; chunks have fewer than a thousand tasks. */
+    /** Maximum size of an index in a list of ranges, with its comma; chunks have fewer than a thousand tasks. */
     private const val INDEX_BYTES = 4
 }
--- a/src/main/kotlin/mintfield/core/jobs/RoundRecord.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundRecord.kt
@@ -1,6 +1,6 @@
 package mintfield.core.jobs
 
-/** The record of one round: a single value in the store for all the jobs that changed. */
+/** Record of one round: a single value in the store with the changes of all changed jobs. */
 class RoundRecord(
     val parts: List<RoundPart>,
 )
--- a/src/main/kotlin/mintfield/core/jobs/TaskChunks.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskChunks.kt
@@ -1,17 +1,18 @@
 package mintfield.core.jobs
 
 /**
- * The chunks of a job's tasks, and the notation of tasks within a chunk. A job's progress is recorded by chunks of a fixed number of
- * tasks, so that a job of any size fits the store's values and transactions, and a write is as large as what changed.
+ * Division of a job's tasks into chunks, and the notation of task indices within a chunk. The progress of a job is recorded by chunks
+ * of a fixed number of tasks, so that a job of any size fits the store's values and transactions, and the size of a write is
+ * proportional to the change.
  */
 object TaskChunks {
-    /** Tasks of a chunk. Even with every task on a machine of its own, two values of 8 KiB hold one. */
-    const val TASKS = 192
+    /** A chunk of this size fits two values of 8 KiB even if every task is on a different machine. */
+    const val TASKS_PER_CHUNK = 192
 
-    /** The chunk of task [index]. */
-    fun of(index: Int) = index / TASKS
+    /** Number of the chunk that contains task [index]. */
+    fun of(index: Int) = index / TASKS_PER_CHUNK
 
-    /** The ascending [indices] relative to [base], as comma-separated numbers and ranges: `0-3,7`. */
+    /** Formats the ascending [indices] relative to [base] as comma-separated numbers and ranges: `0-3,7`. */
     fun ranges(
         indices: List<Int>,
         base: Int,
@@ -29,7 +30,7 @@
         return text.toString()
     }
 
-    /** The indices that [text] as of [ranges] names, relative to [base]. Throws [NumberFormatException] if it is malformed. */
+    /** Parses [text] in the format of [ranges] and adds [base] to each index. Throws [NumberFormatException] if the text is malformed. */
     fun parseRanges(
         text: String,
         base: Int,
--- a/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
@@ -3,14 +3,14 @@
 import java.util.BitSet
 
 /**
- * The state of a job's tasks. Each is done, or has an attempt, or both, or else waits to be planned.
+ * State of a job's tasks. A task is done, has an attempt, or both; otherwise it waits to be planned.
  *
- * The counts are kept up to date with each change, as each round asks for them. Not thread-safe.
+ * The counts are updated with each change, since each round reads them. Not thread-safe.
  */
 class TaskProgress(
     private val jobId: String,
     private val taskCount: Int,
-    /** Notified of each task whose state changes. */
+    /** Receives each task whose state changes. */
     private val unwritten: UnwrittenTasks,
 ) {
     private val done = BitSet(taskCount)
@@ -19,43 +19,43 @@
     private val attemptsByState = IntArray(AttemptState.entries.size)
     private var doneWithAttempt = 0
 
-    /** No task below this index waits. */
+    /** Lower bound of the indices of waiting tasks. */
     private var firstWaiting = 0
 
-    /** Done tasks. */
+    /** Number of done tasks. */
     var doneCount = 0
         private set
 
     /** Whether all tasks are done. */
     val isComplete: Boolean get() = doneCount == taskCount
 
-    /** Tasks that are neither done nor have an attempt. */
+    /** Number of tasks that are not done and have no attempt. */
     val waitingCount: Int get() = taskCount - doneCount - attempts.size + doneWithAttempt
 
-    /** The attempts that are not released. */
+    /** The unreleased attempts. */
     val activeAttempts: Collection<Attempt> get() = attempts.values
 
-    /** The attempt of task [index] that is not released, if there is one. */
+    /** The unreleased attempt of task [index], or null. */
     fun attempt(index: Int): Attempt? = attempts[index]
 
-    /** How many attempts are in [state]. */
+    /** Number of attempts in [state]. */
     fun count(state: AttemptState): Int = attemptsByState[state.ordinal]
 
     /** Whether task [index] is done. */
     fun isDone(index: Int): Boolean = done.get(index)
 
-    /** Whether the store has it that task [index] is done. */
+    /** Whether the store records task [index] as done. */
     fun isDoneRecorded(index: Int): Boolean = recordedDone.get(index)
 
-    /** Task [index] has been planned as [attempt]. Throws [IllegalStateException] if it has an attempt already. */
+    /** Adds a newly planned [attempt]. Throws [IllegalStateException] if its task already has an unreleased attempt. */
     fun add(attempt: Attempt) {
-        check(attempts.put(attempt.index, attempt) == null) { "$jobId/${attempt.index} is planned twice" }
+        check(attempts.put(attempt.index, attempt) == null) { "$jobId/${attempt.index}: task already has an attempt" }
         attemptsByState[attempt.state.ordinal]++
         if (isDone(attempt.index)) doneWithAttempt++
         unwritten.add(attempt.index)
     }
 
-    /** The released [attempt] occupies nothing any more. */
+    /** Removes the released [attempt]; its task waits again unless it is done. */
     fun remove(attempt: Attempt) {
         if (attempts[attempt.index] !== attempt) return
         attempts.remove(attempt.index)
@@ -65,8 +65,8 @@
         unwritten.add(attempt.index)
     }
 
-    /** An attempt of this job changes its state. */
-    fun attemptMoved(
+    /** Updates the counts after a state change of one of the attempts. */
+    fun attemptStateChanged(
         from: AttemptState,
         to: AttemptState,
     ) {
@@ -74,7 +74,7 @@
         attemptsByState[to.ordinal]++
     }
 
-    /** The only place where a task becomes done. False if it was done before. */
+    /** Marks task [index] as done; all tasks become done through this function. Returns false if the task was done before. */
     fun setDone(index: Int): Boolean {
         if (isDone(index)) return false
         done.set(index)
@@ -84,26 +84,26 @@
         return true
     }
 
-    /** The store has it that task [index] is done. */
+    /** Marks task [index] as recorded as done by the store. */
     fun recordDone(index: Int) = recordedDone.set(index)
 
-    /** Marks all of a chunk that a record covers, which is what does not wait, as unwritten. */
+    /** Marks all tasks of [chunk] that records must cover as unwritten, that is, all except the waiting ones. */
     fun rewriteChunk(chunk: Int) {
         for (index in tasksOf(chunk)) if (isCoveredByRecords(index)) unwritten.add(index)
     }
 
-    /** How many tasks of a chunk records must cover; a task that none covers counts as waiting. */
+    /** Number of tasks of [chunk] that records must cover; a task covered by no record is taken to be waiting. */
     fun coveredCount(chunk: Int): Int = tasksOf(chunk).count { isCoveredByRecords(it) }
 
-    private fun tasksOf(chunk: Int): IntRange = chunk * TaskChunks.TASKS until minOf(taskCount, (chunk + 1) * TaskChunks.TASKS)
+    private fun tasksOf(chunk: Int): IntRange = chunk * TaskChunks.TASKS_PER_CHUNK until minOf(taskCount, (chunk + 1) * TaskChunks.TASKS_PER_CHUNK)
 
     private fun isCoveredByRecords(index: Int): Boolean = isDone(index) || attempts.containsKey(index)
 
-    /** Up to [most] waiting tasks, in order. */
-    fun waiting(most: Int): List<Int> {
-        val found = ArrayList<Int>(minOf(most, INITIAL_CAPACITY))
+    /** The first [limit] waiting tasks, in ascending order. */
+    fun waiting(limit: Int): List<Int> {
+        val found = ArrayList<Int>(minOf(limit, INITIAL_CAPACITY))
         var index = firstWaiting
-        while (index < taskCount && found.size < most) {
+        while (index < taskCount && found.size < limit) {
             if (!isDone(index) && !attempts.containsKey(index)) found.add(index)
             index++
         }
--- a/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
+++ b/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
@@ -2,44 +2,44 @@
 
 import java.util.BitSet
 
-/** The tasks of one job whose state has changed since it was last written: what the next round record must cover. */
+/** The tasks of one job whose state has changed since it was last written, which the next round record must cover. */
 class UnwrittenTasks {
     private val indices = BitSet()
 
-    /** Since when something has waited to be written that need not be written at once, in steady milliseconds; 0 if nothing has. */
+    /** Time since which a change that need not be written at once has been unwritten, in steady milliseconds; 0 without any. */
     var sinceMs = 0L
         private set
 
-    /** Whether the store knows all tasks as they are. Kept up to date with each change, as every commit asks it of every job. */
+    /** Whether the store has the current state of all tasks. Updated with each change, since every commit reads it for every job. */
     var isEmpty = true
         private set
 
-    /** The state of task [index] is to be written. */
+    /** Marks the state of task [index] as unwritten. */
     fun add(index: Int) {
         indices.set(index)
         isEmpty = false
     }
 
-    /** The state of task [index] has been taken into a record. */
+    /** Removes task [index], after its state was added to a record. */
     fun remove(index: Int) {
         indices.clear(index)
         isEmpty = indices.isEmpty
     }
 
-    /** The first unwritten task from [index] on, or -1. */
+    /** Index of the first unwritten task at or after [index], or -1. */
     fun nextFrom(index: Int): Int = indices.nextSetBit(index)
 
-    /** Something waits from [nowMs] on, unless something has waited for longer. */
+    /** Sets [sinceMs] to [nowMs], unless an earlier change is still unwritten. */
     fun waitSince(nowMs: Long) {
         if (sinceMs == 0L) sinceMs = nowMs
     }
 
-    /** Nothing waits any more if all has been taken into records. */
+    /** Resets [sinceMs] if all changes have been added to records. */
     fun endWaitIfEmpty() {
         if (isEmpty) sinceMs = 0
     }
 
-    /** All that has changed so far is in the store. */
+    /** Marks all changes so far as written. */
     fun clear() {
         indices.clear()
         isEmpty = true
--- a/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
@@ -20,7 +20,7 @@
     private val cluster: Cluster,
     private val claims: DeadlineClaims,
 ) {
-    /** The order of [jobs] at the time of day [wallMs]. Sets [Job.boosted] of those that are boosted. */
+    /** The order of [jobs] at the time of day [wallMs]. Sets [Job.expedited] of those that are boosted. */
     fun sorted(
         jobs: List<Job>,
         wallMs: Long,
@@ -73,7 +73,7 @@
         val boostedCapacity = capacity * PlacementConstants.MAX_BOOSTED_CPU_FRACTION
         val selection = selectOnTime(critical, 0.0, boostedCapacity, wallMs) { it.strictDueMs!! }
         var freeCpus = boostedCapacity
-        for (job in cluster.jobs.values) if (job.boosted) freeCpus -= job.activeAttempts.size * job.spec.cpus
+        for (job in cluster.jobs.values) if (job.expedited) freeCpus -= job.activeAttempts.size * job.spec.cpus
         val (boosted, others) =
             selection.onTime.sortedWith(compareBy({ it.strictDueMs }, { it.job.spec.id })).partition { claim ->
                 val cpus = claim.job.schedulableTasks * claim.job.spec.cpus
@@ -81,7 +81,7 @@
                 if (fits) freeCpus -= cpus
                 fits
             }
-        boosted.forEach { it.job.boosted = true }
+        boosted.forEach { it.job.expedited = true }
         return OnTimeSelection(boosted, others + selection.postponed)
     }
 
--- a/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
+++ b/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
@@ -54,7 +54,7 @@
     /** Null if the choice depends on more: on where other tasks of the job are or have failed, or on what it may preempt. */
     private fun kindOf(job: Job): Kind? {
         val spec = job.spec
-        if (spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return null
+        if (spec.shape != Shape.ARRAY || job.preemptionPriority < Priority.NORMAL) return null
         if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) return null
         return Kind(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
     }
--- a/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
@@ -30,7 +30,7 @@
 
     /** Where a task of [job] could go: on any open machine, if it may preempt others or does not belong to an array. */
     fun forJob(job: Job): List<Machine> {
-        if (job.spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return openMachines
+        if (job.spec.shape != Shape.ARRAY || job.preemptionPriority < Priority.NORMAL) return openMachines
         if (++jobsTried % REFRESH_INTERVAL_JOBS == 0) withCapacity = withCapacity.filter { hasCapacity(it) }
         return withCapacity
     }
--- a/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
+++ b/src/main/kotlin/mintfield/core/placement/PlacementPhase.kt
@@ -33,6 +33,6 @@
             )
 
         /** The phases for tasks of [job], in order. */
-        fun of(job: Job): List<PlacementPhase> = if (job.displacingPriority < Priority.NORMAL) PREEMPTING else ORDINARY
+        fun of(job: Job): List<PlacementPhase> = if (job.preemptionPriority < Priority.NORMAL) PREEMPTING else ORDINARY
     }
 }
--- a/src/main/kotlin/mintfield/core/placement/Preemption.kt
+++ b/src/main/kotlin/mintfield/core/placement/Preemption.kt
@@ -29,7 +29,7 @@
         }
         val chosen = best ?: return null
         val machine = chosen.first().machine
-        chosen.forEach { cluster.stop(it, nowMs, "room for ${job.spec.id} of priority ${job.displacingPriority}") }
+        chosen.forEach { cluster.stop(it, nowMs, "room for ${job.spec.id} of priority ${job.preemptionPriority}") }
         return machine
     }
 
@@ -53,7 +53,7 @@
         var memoryGb = machine.freeMemoryGb
         val candidates =
             machine.attempts
-                .filter { it.job.priority > job.displacingPriority && it.state in PREEMPTIBLE }
+                .filter { it.job.priority > job.preemptionPriority && it.state in PREEMPTIBLE }
                 .sortedByDescending { it.changedAtMs }
         val chosen = ArrayList<Attempt>()
         for (attempt in candidates) {
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -30,7 +30,7 @@
         val reserve = ReplicaReserve(cluster, openMachines)
         val withCapacity = MachinesWithCapacity(openMachines, waiting, reserve)
         // While everything is full a round costs no more for many waiting jobs than for few.
-        if (withCapacity.none && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
+        if (withCapacity.none && waiting.none { it.spec.shape != Shape.ARRAY || it.preemptionPriority < Priority.NORMAL }) return 0
         return Run(nowMs, wallMs, maxTasks, waiting, openMachines, reserve, withCapacity).placeAll()
     }
 
--- a/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
+++ b/src/main/kotlin/mintfield/core/placement/StarvationGuard.kt
@@ -36,7 +36,7 @@
 
     private fun addStarving(turns: MutableList<Turn>) {
         for (job in waiting) {
-            if (job.spec.shape != Shape.ARRAY || job.begun || ageMs(job) < PlacementConstants.STARVATION_MS) continue
+            if (job.spec.shape != Shape.ARRAY || job.hasStartedTasks || ageMs(job) < PlacementConstants.STARVATION_MS) continue
             val fewTasks = maxOf(1, (job.spec.tasks * PlacementConstants.STARVATION_TASK_FRACTION).toInt())
             turns.add(Turn(job, minOf(job.schedulableTasks, fewTasks)))
         }
--- a/src/main/kotlin/mintfield/io/store/RoundCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/RoundCodec.kt
@@ -51,7 +51,7 @@
         to: JsonGenerator,
         part: RoundPart,
     ) = with(to) {
-        val base = part.chunk * TaskChunks.TASKS
+        val base = part.chunk * TaskChunks.TASKS_PER_CHUNK
         writeStartObject()
         writeStringField(JOB, part.job)
         writeNumberField(CHUNK, part.chunk)
@@ -102,7 +102,7 @@
 
     private fun readPart(data: Map<String, Any?>): RoundPart {
         val chunk = data.long(CHUNK).orInvalid(CHUNK, "a number").toInt()
-        val base = chunk * TaskChunks.TASKS
+        val base = chunk * TaskChunks.TASKS_PER_CHUNK
         return RoundPart(
             job = data.string(JOB).orInvalid(JOB, "a job id"),
             chunk = chunk,
