--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -31,8 +31,7 @@
         maxCalls: Int,
     ): List<DirectCall> {
         if (maxCalls <= 0 || nowMs < pausedUntilMs) return emptyList()
-        // While no call gets a response, each further call would leave it unknown whether a start is carried out until the term is raised.
-        // One call is enough to probe the path.
+        // While no call gets a response, each further one would add starts of unknown outcome until the term is raised: one probe is enough.
         val pathLost = consecutiveUnanswered >= WorkerConstants.DIRECT_PATH_LOST_AFTER
         if (pathLost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
         val limit = if (pathLost) 1 else maxCalls
@@ -133,7 +132,7 @@
     }
 
     private companion object {
-        /** Unreachable machines that one call of [calls] probes at most. */
+        /** Maximum number of unreachable machines probed per call of [calls]. */
         const val MAX_CONCURRENT_PROBES = 2
     }
 }
--- a/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
+++ b/src/main/kotlin/mintfield/core/jobs/FailureAttribution.kt
@@ -102,7 +102,7 @@
         record.clearUnattributed()
     }
 
-    /** Marks unproven jobs healthy if one of their tasks has run for much longer than the failed ones did before they failed. */
+    /** Marks unproven jobs healthy if one of their tasks has run for much longer than their failed tasks did. */
     fun checkUnprovenJobs(nowMs: Long) {
         if (cluster.unprovenJobs.isEmpty()) return
         for (job in cluster.unprovenJobs.toList()) {
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -245,7 +245,10 @@
         failureAttribution.recordFailure(attempt.job, attempt.machine, ranMs, nowMs)
     }
 
-    /** Handles an [attempt] that is missing from a heartbeat. The start of one never reported may be in flight; others are released on proof. */
+    /**
+     * Handles an [attempt] that is missing from a heartbeat. An attempt never reported is kept, since its start may be in flight; any
+     * other is released once its absence is proven.
+     */
     private fun reconcileMissing(
         attempt: Attempt,
         provesAbsence: Boolean,
