--- a/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
+++ b/src/main/kotlin/mintfield/core/placement/ExhaustedSearches.kt
@@ -58,7 +58,7 @@
      */
     private fun requirementsOf(job: Job): Requirements? {
         val spec = job.spec
-        if (spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return null
+        if (spec.shape != Shape.ARRAY || job.preemptionPriority < Priority.NORMAL) return null
         if (spec.oneZone || spec.spread || job.failedOn.isNotEmpty()) return null
         return Requirements(spec.image, spec.imageGb, spec.cpus, spec.gpus, spec.memoryGb, job.compatibleTypes, spec.types, spec.spot, spec.zone)
     }
--- a/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
+++ b/src/main/kotlin/mintfield/core/placement/MachinesWithCapacity.kt
@@ -31,7 +31,7 @@
 
     /** The machines on which a task of [job] could be placed: all open machines if the job may preempt others or is not an array. */
     fun forJob(job: Job): List<Machine> {
-        if (job.spec.shape != Shape.ARRAY || job.displacingPriority < Priority.NORMAL) return openMachines
+        if (job.spec.shape != Shape.ARRAY || job.preemptionPriority < Priority.NORMAL) return openMachines
         if (++jobsTried % REFRESH_INTERVAL_JOBS == 0) withCapacity = withCapacity.filter { hasCapacity(it) }
         return withCapacity
     }
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -30,7 +30,7 @@
         val reserve = ReplicaReserve(cluster, openMachines)
         val withCapacity = MachinesWithCapacity(openMachines, waiting, reserve)
         // Returns early so that the cost of a round does not grow with the number of waiting jobs while all machines are full.
-        if (withCapacity.isEmpty && waiting.none { it.spec.shape != Shape.ARRAY || it.displacingPriority < Priority.NORMAL }) return 0
+        if (withCapacity.isEmpty && waiting.none { it.spec.shape != Shape.ARRAY || it.preemptionPriority < Priority.NORMAL }) return 0
         return Run(nowMs, wallMs, maxTasks, waiting, openMachines, reserve, withCapacity).placeAll()
     }
 
