--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskClient.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskClient.kt
@@ -1,7 +1,7 @@
 package mintfield.app.sharding
 
-import mintfield.core.ownership.ForeignTaskAnswer
 import mintfield.core.ownership.ForeignTaskQuery
+import mintfield.core.ownership.ForeignTaskResponse
 
 /** Asks the leaders of other shards about tasks on their machines. */
 fun interface ForeignTaskClient {
@@ -9,5 +9,5 @@
     suspend fun ask(
         shard: String,
         queries: List<ForeignTaskQuery>,
-    ): List<ForeignTaskAnswer>?
+    ): List<ForeignTaskResponse>?
 }
--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
@@ -2,8 +2,8 @@
 
 import mintfield.app.election.LeaderElections
 import mintfield.app.peer.PeerRelay
-import mintfield.core.ownership.ForeignTaskAnswer
 import mintfield.core.ownership.ForeignTaskQuery
+import mintfield.core.ownership.ForeignTaskResponse
 import mintfield.io.ownership.ForeignTaskCodec
 
 /** Brings questions about foreign tasks to the leader of the shard that owns the machines, in this process or at a peer. */
@@ -15,7 +15,7 @@
     override suspend fun ask(
         shard: String,
         queries: List<ForeignTaskQuery>,
-    ): List<ForeignTaskAnswer>? {
+    ): List<ForeignTaskResponse>? {
         localLeader(shard)?.let { return it.answer(queries) }
         val controller = elections().leaderOf(shard) ?: return null
         return relay.queryForeignTasks(controller, ForeignTaskCodec.encodeQueries(shard, queries))?.let(ForeignTaskCodec::decodeAnswers)
--- a/src/main/kotlin/mintfield/app/sharding/RemoteTaskFollower.kt
+++ b/src/main/kotlin/mintfield/app/sharding/RemoteTaskFollower.kt
@@ -38,7 +38,7 @@
         val answers = client.ask(owner, queries) ?: return
         // Answers belong to queries by position, so any other number of them cannot be assigned.
         if (answers.size != queries.size) return
-        queries.zip(answers).forEach { (query, answer) -> tracker.answered(query, answer, loop.nowMs()) }
+        queries.zip(answers).forEach { (query, answer) -> tracker.applyResponse(query, answer, loop.nowMs()) }
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -4,9 +4,9 @@
 import mintfield.app.leader.Leader
 import mintfield.core.Scheduler
 import mintfield.core.constants.StoreConstants
-import mintfield.core.ownership.ForeignTaskAnswer
 import mintfield.core.ownership.ForeignTaskQuery
 import mintfield.core.ownership.ForeignTaskResponder
+import mintfield.core.ownership.ForeignTaskResponse
 import mintfield.core.ownership.LoadMeter
 import mintfield.core.ownership.ShardLoad
 import mintfield.io.loop.EventLoop
@@ -25,7 +25,7 @@
     fun load(): ShardLoad? = if (scheduler.loaded) meter.measure() else null
 
     /** Answers the leader of another shard about its tasks on machines of this one, in the order of [queries]. */
-    fun answer(queries: List<ForeignTaskQuery>): List<ForeignTaskAnswer> = queries.map { responder.answer(it, loop.nowMs()) }
+    fun answer(queries: List<ForeignTaskQuery>): List<ForeignTaskResponse> = queries.map { responder.respond(it, loop.nowMs()) }
 
     /** Reads the assignments as they are now or later, until the store answers: a new leader acts on nothing older than its election. */
     suspend fun readAssignments() {
--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -60,7 +60,7 @@
         nowMs: Long,
     ) {
         if (!cluster.ownership.owns(entry.id)) {
-            if (cluster.ownership.isGone(entry.id) && entry.id !in released) ownerless.putIfAbsent(entry.id, nowMs)
+            if (cluster.ownership.isUnowned(entry.id) && entry.id !in released) ownerless.putIfAbsent(entry.id, nowMs)
             return
         }
         ownerless.remove(entry.id)
--- a/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
@@ -24,7 +24,7 @@
         nowMs: Long,
         spareCpus: Double,
     ) {
-        if (!cluster.ownership.maySpare) return
+        if (!cluster.ownership.mayReleaseIdle) return
         val limitMs = if (cluster.jobs.isEmpty()) FleetConstants.IDLE_RELEASE_WITHOUT_JOBS_MS else cluster.settings.operator.idleReleaseMs
         for (machine in cluster.machines.values) {
             if (machine.inUse || machine.state != MachineState.UP || machine.type.cpus > spareCpus) {
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentBlock.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentBlock.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-/** One block of the assignment table as the store holds it at [revision]; [assignments], by machine, is null if it cannot be read. */
+/** One block of the assignment table, as stored at [revision]. [assignments] are keyed by machine; null if the block cannot be decoded. */
 class AssignmentBlock(
     val revision: Long,
     val assignments: Map<String, Assignment>?,
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentChange.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentChange.kt
@@ -1,12 +1,12 @@
 package mintfield.core.ownership
 
-/** A change of one machine's assignment that a leader wants: it becomes [next], or ends if that is null, provided that [condition] holds. */
+/** A requested change of one machine's assignment to [next], or its deletion if [next] is null. Applied only if [condition] holds. */
 data class AssignmentChange(
     val kind: Kind,
     val machine: String,
     val next: Assignment?,
     val condition: LeaderCondition?,
 ) {
-    /** The functions of [Handover] that leaders use. Their names, in lower case, stand in the log. */
+    /** The transitions of [Handover] that leaders make. The log prints their names in lower case. */
     enum class Kind { ORDER, RELEASE, ADOPT, TAKE_BACK, CLAIM, DROP }
 }
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
@@ -5,7 +5,7 @@
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.AttemptState
 
-/** Says which assignments the leader of a shard wants to change, from the assignment table and the state of its machines. */
+/** Plans the assignment changes of a shard's leader from the assignment table and the state of the shard's machines. */
 internal class AssignmentChangePlanner(
     private val ownership: ShardOwnership,
     private val table: AssignmentTable,
@@ -19,15 +19,15 @@
     private val cluster = scheduler.cluster
     private val offeredSinceMs = HashMap<String, Long>()
 
-    /** The changes that are wanted now, the most urgent first: moves under way, claims, ended assignments, new moves. */
-    fun wantedChanges(nowMs: Long): List<AssignmentChange> = moves(nowMs) + claims.wantedChanges(nowMs) + drops() + orders(nowMs)
+    /** The changes required at [nowMs], most urgent first: next steps of moves in progress, claims, deletions, new moves. */
+    fun requiredChanges(nowMs: Long): List<AssignmentChange> = moves(nowMs) + claims.requiredChanges(nowMs) + drops() + orders(nowMs)
 
     private fun moves(nowMs: Long): List<AssignmentChange> {
         offeredSinceMs.keys.retainAll(table.moving.keys)
         return table.moving.mapNotNull { (machine, assignment) -> nextStep(machine, assignment, nowMs) }
     }
 
-    /** This shard's next step in the move of [machine]; null if it is another's turn, or not time yet. */
+    /** This shard's next step in the move of [machine]; null if the next step is another shard's or is not due yet. */
     private fun nextStep(
         machine: String,
         assignment: Assignment,
@@ -42,7 +42,7 @@
             else -> null
         }
 
-    /** An offer to a shard that nobody leads waits for an election, and is taken back if there is none in time. */
+    /** Takes back an [offer] to a shard without a leader, but only after the offer timeout, so that the shard can elect a leader first. */
     private fun takeBack(
         machine: String,
         offer: Assignment.Offered,
@@ -54,22 +54,23 @@
     }
 
     /**
-     * Whether the machine may be released: no write of a plan for it is under way, no direct command to it lacks an answer, and it is
-     * neither being released to the cloud nor fenced, since then it must not be answered. Plans that were never sent are cancelled on the
-     * way; a start that was sent stays planned until the new owner reports what became of it.
+     * Whether the machine may be released to the target of its move: no plan for it is being written, no direct command to it is
+     * unanswered, and it is neither being released to the cloud nor fenced. The heartbeats of a machine in one of the last two states must
+     * not be responded to. Cancels planned attempts whose start was never sent; an attempt whose start was sent stays planned until the new
+     * owner reports its state.
      */
     private fun readyToRelease(
         machineId: String,
         nowMs: Long,
     ): Boolean {
-        // Of a terminated machine nothing is left to hand over, and its assignment is about to end.
+        // A terminated machine is not handed over: its assignment is about to be deleted.
         if (ownership.isReleaseUnderWay(machineId) || machineId in ownership.terminatedMachines) return false
         val machine = cluster.machines[machineId] ?: return true
         val leavesFleet = machine.state == MachineState.RELEASING || machine.state == MachineState.TERMINATING
         if (leavesFleet || scheduler.zoneFencing.isFenced(machineId)) return false
         machine.attempts
             .filter { it.state == AttemptState.PLANNED && !it.startSent }
-            .forEach { cluster.stop(it, nowMs, "its machine is handed over") }
+            .forEach { cluster.stop(it, nowMs, "machine handed over to another shard") }
         return !machine.directRoute.inFlight && machine.count(AttemptState.PLANNING) == 0
     }
 
@@ -84,12 +85,12 @@
         transfers.transfers(nowMs).mapNotNull { transfer ->
             val trace = tracer.ordered(transfer.machine, shard, transfer.target)
             val order = Handover.order(table.assignment(transfer.machine), transfer.target, shards, trace)
-            // Anybody may order a move, but the rebalancer of a shard only while its leader leads.
+            // Operators may order a move without this condition; a rebalancer may only while its controller leads the shard.
             order.toChange(AssignmentChange.Kind.ORDER, transfer.machine)?.copy(condition = LeaderCondition.Leads(shard))
         }
 }
 
-/** The change of [machine] by this transition; null if it is refused. */
+/** The change of [machine] that makes the receiver's transition; null if the transition is refused. */
 internal fun AssignmentTransition.toChange(
     kind: AssignmentChange.Kind,
     machine: String,
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentRefusal.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentRefusal.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-/** Why an assignment does not change as requested; [reason] is printed for operators. */
+/** The reason why a requested change of an assignment is refused; [reason] is printed for operators. */
 enum class AssignmentRefusal(
     val reason: String,
 ) {
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentTransaction.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentTransaction.kt
@@ -1,35 +1,35 @@
 package mintfield.core.ownership
 
-/** Changes of assignments that are applied together or not at all. */
+/** A set of assignment changes, applied atomically. */
 class AssignmentTransaction(
     val changes: List<AssignmentChange>,
-    /** The term of the leader that makes them. */
+    /** The term of the leader that submits the transaction. */
     val term: Long,
-    /** What is written to each block, by the number of the block. */
+    /** The writes, keyed by block number. */
     val blocks: Map<Int, BlockWrite>,
 ) {
-    /** The new [content] of a block, which must be at the revision [guardRevision] until then. */
+    /** Replaces a block by [content]. Precondition: the block is still at the revision [guardRevision]. */
     class BlockWrite(
         val guardRevision: Long,
         val content: Map<String, Assignment>,
     )
 
-    /** What must hold of leader keys for the transaction to be applied. */
+    /** The preconditions on leader keys. */
     val conditions: Set<LeaderCondition> get() = changes.mapNotNullTo(LinkedHashSet()) { it.condition }
 
     /** The machines that the transaction releases. */
     val releasedMachines: List<String> get() = changes.filter { it.kind == AssignmentChange.Kind.RELEASE }.map { it.machine }
 
     internal companion object {
-        /** The transaction of the leader with [term] that makes the [wanted] changes; null if none is in a block that can be rewritten. */
+        /** The transaction of the leader with [term] for the [required] changes, without those in undecodable blocks; null if none is left. */
         fun of(
-            wanted: List<AssignmentChange>,
+            required: List<AssignmentChange>,
             table: AssignmentTable,
             term: Long,
         ): AssignmentTransaction? {
             val blocks = HashMap<Int, BlockWrite>()
             val changes = ArrayList<AssignmentChange>()
-            for (change in wanted) {
+            for (change in required) {
                 val number = AssignmentTable.blockOf(change.machine)
                 val content = blocks[number]?.content ?: table.blockContent(change.machine) ?: continue
                 val next = LinkedHashMap(content)
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentTransition.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentTransition.kt
@@ -1,14 +1,14 @@
 package mintfield.core.ownership
 
-/** The answer of the state machine [Handover] to a request to change an assignment. */
+/** The result of requesting a transition of the state machine [Handover]. */
 sealed interface AssignmentTransition {
-    /** The assignment may become [next], or end if that is null, provided that it has not changed and that [condition] holds. */
+    /** The assignment may change to [next], or be deleted if [next] is null, provided that it is unchanged until then and [condition] holds. */
     data class Allowed(
         val next: Assignment?,
         val condition: LeaderCondition? = null,
     ) : AssignmentTransition
 
-    /** The assignment stays as it is. */
+    /** The transition is not permitted; the assignment stays unchanged. */
     data class Refused(
         val refusal: AssignmentRefusal,
     ) : AssignmentTransition
--- a/src/main/kotlin/mintfield/core/ownership/ClaimPolicy.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ClaimPolicy.kt
@@ -1,9 +1,9 @@
 package mintfield.core.ownership
 
-/** Says which machines without an owner a shard claims. */
+/** Decides which unowned machines a shard claims. */
 fun interface ClaimPolicy {
-    /** Whether to claim [machine]; [abandoned]: the shard that should have claimed it has had enough time to do so. */
-    fun takes(
+    /** Whether to claim [machine]. [abandoned] is true once the shard that should claim it has not done so within the claim timeout. */
+    fun shouldClaim(
         machine: String,
         abandoned: Boolean,
     ): Boolean
--- a/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
+++ b/src/main/kotlin/mintfield/core/ownership/DrainRecord.kt
@@ -1,12 +1,12 @@
 package mintfield.core.ownership
 
-/** The controllers that operators have drained, as the store holds them at revision [revision]; 0 if there is no record. */
+/** The controllers drained by operators, as stored at [revision]; the revision is 0 if the store has no record. */
 data class DrainRecord(
     val revision: Long,
-    /** Null if the record cannot be read. */
+    /** The names of the drained controllers; null if the record cannot be decoded. */
     val members: Set<String>?,
 ) {
-    /** The transition when [member] is to be drained too; [all] are the configured controllers. */
+    /** The transition that drains [member]; [all] are the configured controllers. At least one controller must stay undrained. */
     fun drain(
         member: String,
         all: Collection<String>,
@@ -19,7 +19,7 @@
             else -> DrainTransition.Allowed(members + member)
         }
 
-    /** The transition when [member] may lead shards again. */
+    /** The transition that ends the drain of [member], so that it may lead shards again. */
     fun resume(member: String): DrainTransition =
         when {
             members == null -> DrainTransition.Refused(DrainRefusal.UNREADABLE)
@@ -27,9 +27,9 @@
             else -> DrainTransition.Allowed(members - member)
         }
 
-    /** The initial record. */
+    /** The state before any controller is drained. */
     companion object {
-        /** What holds while the store has no record. */
+        /** The record assumed while the store has none. */
         val NONE = DrainRecord(revision = 0, members = emptySet())
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/DrainRefusal.kt
+++ b/src/main/kotlin/mintfield/core/ownership/DrainRefusal.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-/** Why a controller is not drained, or does not resume; [reason] is printed for operators. */
+/** The reason why a request to drain or resume a controller is refused; [reason] is printed for operators. */
 enum class DrainRefusal(
     val reason: String,
 ) {
--- a/src/main/kotlin/mintfield/core/ownership/DrainTransition.kt
+++ b/src/main/kotlin/mintfield/core/ownership/DrainTransition.kt
@@ -1,13 +1,13 @@
 package mintfield.core.ownership
 
-/** The answer to a request to drain a controller, or to end that. */
+/** The result of a request to drain or resume a controller. */
 sealed interface DrainTransition {
-    /** From then on [members] are drained. */
+    /** The record may change: [members] are the drained controllers afterwards. */
     data class Allowed(
         val members: Set<String>,
     ) : DrainTransition
 
-    /** The record stays as it is. */
+    /** The request is not permitted; the record stays unchanged. */
     data class Refused(
         val refusal: DrainRefusal,
     ) : DrainTransition
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskQuery.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskQuery.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-/** A query to the owner of [machine] about tasks there that are foreign to it. */
+/** A query to the owner of [machine] about tasks on that machine that belong to jobs of the querying shard. */
 data class ForeignTaskQuery(
     val machine: String,
     val tasks: List<ForeignTaskRef>,
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskRef.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskRef.kt
@@ -2,22 +2,22 @@
 
 import mintfield.core.model.TaskId
 
-/** An attempt of a task that the asking leader planned on a machine which another shard owns now, and what it wants of it. */
+/** An attempt that the querying leader planned on a machine that another shard owns now, with the [action] requested for it. */
 data class ForeignTaskRef(
     val task: TaskId,
     /** The number of the attempt. */
     val attempt: Long,
     val action: Action,
 ) {
-    /** What the owner of the machine is to do. Sent by position, so the order must stay. */
+    /** The action requested from the owner of the machine. Encoded by ordinal, so the order must not change. */
     enum class Action {
-        /** Tell the state of the task. */
+        /** Report the state of the task. */
         QUERY,
 
-        /** Stop the task, and tell its state. */
+        /** Stop the task, and report its state. */
         STOP,
 
-        /** Let the worker forget the ended task. */
+        /** Acknowledge the ended task, so that the worker deletes its record of it. */
         ACKNOWLEDGE,
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ForeignTaskResponder.kt
@@ -4,24 +4,24 @@
 import mintfield.core.fleet.Machine
 import mintfield.core.fleet.MachineState
 
-/** The owner's side of foreign tasks: reports to the leaders of other shards what became of their tasks on this shard's machines. */
+/** The owner's side of foreign tasks: reports to leaders of other shards the state of their tasks on machines of this shard. */
 class ForeignTaskResponder(
     private val scheduler: Scheduler,
 ) {
     private val cluster = scheduler.cluster
 
-    /** Answers [query], and notes what is to be stopped or acknowledged with the machine's next heartbeat. */
-    fun answer(
+    /** Returns the response to [query], and records the requested stops and acknowledgements for the machine's next heartbeat. */
+    fun respond(
         query: ForeignTaskQuery,
         nowMs: Long,
-    ): ForeignTaskAnswer {
+    ): ForeignTaskResponse {
         val machine = ownedMachine(query.machine)
         return when {
-            machine == null -> ForeignTaskAnswer.NotOwner
-            !cluster.hasSeenOurToken(machine) || machine.lastHeartbeat == null -> ForeignTaskAnswer.NoHeartbeatYet
-            scheduler.fleet.leaseExpired(machine, nowMs) -> ForeignTaskAnswer.Status(emptyList())
+            machine == null -> ForeignTaskResponse.NotOwner
+            !cluster.hasSeenOurToken(machine) || machine.lastHeartbeat == null -> ForeignTaskResponse.NoHeartbeatYet
+            scheduler.fleet.leaseExpired(machine, nowMs) -> ForeignTaskResponse.Status(emptyList())
             else -> {
-                noteActions(machine, query.tasks)
+                recordActions(machine, query.tasks)
                 status(machine, query.tasks)
             }
         }
@@ -29,7 +29,7 @@
 
     private fun ownedMachine(id: String): Machine? = cluster.machines[id]?.takeIf { it.state != MachineState.OWNED_ELSEWHERE && cluster.ownership.owns(id) }
 
-    private fun noteActions(
+    private fun recordActions(
         machine: Machine,
         refs: List<ForeignTaskRef>,
     ) {
@@ -44,9 +44,9 @@
     private fun status(
         machine: Machine,
         refs: List<ForeignTaskRef>,
-    ): ForeignTaskAnswer.Status {
+    ): ForeignTaskResponse.Status {
         val attemptByTask = refs.associate { it.task to it.attempt }
         val reported = machine.lastHeartbeat?.tasks.orEmpty()
-        return ForeignTaskAnswer.Status(reported.filter { attemptByTask[it.task] == it.attempt })
+        return ForeignTaskResponse.Status(reported.filter { attemptByTask[it.task] == it.attempt })
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/Handover.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Handover.kt
@@ -7,9 +7,9 @@
 import mintfield.core.ownership.AssignmentTransition.Refused
 
 /**
- * The state machine of a machine's assignment, with a function for each change. Each change is one transaction, with the revision of the
- * block that holds the assignment as its precondition, so of two concurrent changes only one is applied. What follows from a state
- * depends only on what the store holds, so the next leader of a shard continues from there.
+ * The state machine of a machine's assignment, with one function for each transition. A transition is written in a transaction whose
+ * precondition is the revision of the block that holds the assignment, so of two concurrent transitions only one is applied. The
+ * permitted transitions depend only on stored data, so the next leader of a shard can continue a move.
  *
  * ```
  * none --claim--> owned --order--> releasing --release--> offered --adopt--> owned by the target
@@ -19,7 +19,7 @@
  * ```
  */
 object Handover {
-    /** An operator, or the rebalancer of the owner, orders a move to [target]; [trace] is the context of its trace, if it is traced. */
+    /** An operator, or the rebalancer of the owner, orders a move to [target]; [trace] is the trace context of the move, null if it is not traced. */
     fun order(
         current: Assignment?,
         target: String,
@@ -37,7 +37,7 @@
             else -> Allowed(Releasing(current.owner, target, trace))
         }
 
-    /** An operator cancels a move, at any time before the target has adopted the machine. */
+    /** An operator cancels a move. Permitted until the target has adopted the machine. */
     fun cancel(current: Assignment?): AssignmentTransition =
         when (current) {
             null -> Refused(AssignmentRefusal.UNKNOWN_MACHINE)
@@ -71,7 +71,7 @@
             }
         }
 
-    /** The leader of the former owner [shard] takes back a machine that it offered to a shard which nobody leads. */
+    /** The leader of the former owner [shard] takes back a machine offered to a shard without a leader. */
     fun takeBack(
         current: Assignment?,
         shard: String,
@@ -85,13 +85,13 @@
             }
         }
 
-    /** The leader of [shard] claims a machine that has no owner. */
+    /** The leader of [shard] claims an unowned machine. */
     fun claim(
         current: Assignment?,
         shard: String,
     ): AssignmentTransition = if (current == null) Allowed(Owned(shard), LeaderCondition.Leads(shard)) else Refused(AssignmentRefusal.ALREADY_ASSIGNED)
 
-    /** The cloud has confirmed to the leader of [shard] that the machine is gone: its assignment ends. */
+    /** The leader of [shard] deletes the assignment of a machine whose termination the cloud has confirmed. */
     fun drop(
         current: Assignment?,
         shard: String,
@@ -102,7 +102,7 @@
             else -> Allowed(next = null, LeaderCondition.Leads(shard))
         }
 
-    /** The transition [from] a move that must be in the state [S]. */
+    /** The transition [from] the state [S]; refused if [current] is in another state. */
     private inline fun <reified S : Assignment> during(
         current: Assignment?,
         from: (S) -> AssignmentTransition,
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -7,10 +7,10 @@
 import mintfield.core.fleet.MachineState
 
 /**
- * One leader's part in the moves of machines: it says which transaction on the assignments the leader wants, and applies what became of
- * it to what the scheduler works with. All of it follows from the assignment table, so a new leader of the same shard continues where the
- * last one stopped. After [next] has returned a transaction, one of [applied], [refused] and [unanswered] must be called before [next] is
- * called again. To be used on the event loop only.
+ * A leader's part in machine moves: proposes transactions on the assignment table, and applies their outcome to the scheduler's machines.
+ * The proposals follow from the assignment table, so a new leader of the same shard continues moves of its predecessor. After [next] has
+ * returned a transaction, one of [applied], [refused] and [unanswered] must be called before [next] is called again. Not thread-safe: used
+ * on the event loop only.
  */
 class HandoverAgent(
     private val ownership: ShardOwnership,
@@ -28,27 +28,27 @@
     private val planner = AssignmentChangePlanner(ownership, table, scheduler, shards, claims, transfers, tracer)
     private val moveTimer = MoveTimer(ownership.shard, tracer)
 
-    /** Machines whose release had no answer, with the term under which it was sent. Until a higher term is in force it may yet be applied. */
-    private val releasesInDoubt = HashMap<String, Long>()
+    /** Machines with an unanswered release, with the term under which it was sent. It may still be applied until a higher term is in force. */
+    private val unansweredReleases = HashMap<String, Long>()
 
     init {
         fleet.onProvisioned = { intent: ScaleOutIntent, machines -> claims.provisioned(intent, machines) }
         fleet.onReleased = ownership::machineTerminated
     }
 
-    /** The next transaction, or null if nothing is to be changed. The leader stops acting for the machines that it releases. */
+    /** The next transaction; null if no change is required. The leader stops acting for the machines that the transaction releases. */
     fun next(nowMs: Long): AssignmentTransaction? {
         if (!scheduler.loaded || table.revision == 0L) return null
         reconcile(nowMs)
         moveTimer.observeMoves(table.moving, nowMs)
         moveTimer.observeTokens({ machine -> cluster.machines[machine]?.let(cluster::hasSeenOurToken) == true }, nowMs)
-        val wanted = planner.wantedChanges(nowMs).take(ShardingConstants.MAX_ASSIGNMENT_CHANGES)
-        val transaction = AssignmentTransaction.of(wanted, table, cluster.term) ?: return null
+        val required = planner.requiredChanges(nowMs).take(ShardingConstants.MAX_ASSIGNMENT_CHANGES)
+        val transaction = AssignmentTransaction.of(required, table, cluster.term) ?: return null
         transaction.releasedMachines.forEach(ownership::releaseSent)
         return transaction
     }
 
-    /** [transaction] was applied at [revision]. */
+    /** Records that [transaction] was applied at [revision]. */
     fun applied(
         transaction: AssignmentTransaction,
         revision: Long,
@@ -56,7 +56,7 @@
     ) {
         for ((number, write) in transaction.blocks) table.apply(number, AssignmentBlock(revision, write.content))
         for (change in transaction.changes) {
-            log("${change.machine}: ${change.kind.name.lowercase()}, now ${change.next ?: "without an owner"}")
+            log("machine ${change.machine}: ${change.kind.name.lowercase()} applied, assignment now ${change.next ?: "none"}")
             when (change.kind) {
                 AssignmentChange.Kind.RELEASE -> released(change.machine, nowMs)
                 AssignmentChange.Kind.ADOPT -> adopted(change.machine, nowMs)
@@ -67,15 +67,15 @@
         reconcile(nowMs)
     }
 
-    /** [transaction] was certainly not applied, and never will be. */
+    /** Records that [transaction] was not applied and cannot be applied later. */
     fun refused(transaction: AssignmentTransaction) {
-        transaction.releasedMachines.forEach(ownership::releaseSettled)
+        transaction.releasedMachines.forEach(ownership::releaseConfirmed)
     }
 
-    /** There was no answer to [transaction]: it may have been applied, or may yet be. If it releases machines, the term must rise first. */
+    /** Records that [transaction] is unanswered: it may have been applied, or may be later. If it releases machines, raises the term first. */
     fun unanswered(transaction: AssignmentTransaction) {
         val released = transaction.releasedMachines
-        released.forEach { releasesInDoubt[it] = transaction.term }
+        released.forEach { unansweredReleases[it] = transaction.term }
         if (released.isNotEmpty()) scheduler.fenceLateWrites()
     }
 
@@ -83,7 +83,7 @@
         machine: String,
         nowMs: Long,
     ) {
-        ownership.releaseSettled(machine)
+        ownership.releaseConfirmed(machine)
         moveTimer.released(machine, nowMs)
     }
 
@@ -95,20 +95,20 @@
         moveTimer.adopted(machine, nowMs)
     }
 
-    /** Brings the scheduler's machines in line with the table, which others change too, and to which a late release may have been applied. */
+    /** Reconciles the scheduler's machines with the table, which other controllers and late releases change too. */
     private fun reconcile(nowMs: Long) {
-        settleReleasesInDoubt()
+        confirmUnansweredReleases()
         table.assigned
             .filter { it !in cluster.machines && ownership.owns(it) && it !in ownership.terminatedMachines }
             .forEach { fleet.registry.assume(it, nowMs) }
         for (machine in cluster.machines.values.toList()) reconcile(machine, nowMs)
     }
 
-    /** A release is settled when a higher term voids it and the table shows the time of that term. */
-    private fun settleReleasesInDoubt() {
-        val settled = releasesInDoubt.filterValues { it < cluster.term && cluster.term <= table.revision }.keys
-        settled.forEach(ownership::releaseSettled)
-        releasesInDoubt.keys.removeAll(settled)
+    /** Confirms unanswered releases that can no longer be applied since the term has risen, once the table is as new as the current term. */
+    private fun confirmUnansweredReleases() {
+        val confirmed = unansweredReleases.filterValues { it < cluster.term && cluster.term <= table.revision }.keys
+        confirmed.forEach(ownership::releaseConfirmed)
+        unansweredReleases.keys.removeAll(confirmed)
     }
 
     private fun reconcile(
@@ -118,18 +118,18 @@
         val owned = ownership.owns(machine.id)
         if (machine.state == MachineState.OWNED_ELSEWHERE && owned) fleet.registry.adopt(machine.id, nowMs)
         if (canBeHandedOver(machine) && !owned && !ownership.isReleaseUnderWay(machine.id)) fleet.handedOver(machine.id, nowMs)
-        if (machine.state == MachineState.OWNED_ELSEWHERE && ownership.isGone(machine.id)) removeTerminated(machine, nowMs)
+        if (machine.state == MachineState.OWNED_ELSEWHERE && ownership.isUnowned(machine.id)) removeTerminated(machine, nowMs)
     }
 
     private fun canBeHandedOver(machine: Machine) =
         machine.state == MachineState.PROVISIONING || machine.state == MachineState.UP || machine.state == MachineState.UNRESPONSIVE
 
-    /** The last owner of [machine] has recorded that the cloud terminated it, with all that was on it. */
+    /** Removes [machine] and its attempts: its last owner deleted the assignment after the cloud confirmed the termination. */
     private fun removeTerminated(
         machine: Machine,
         nowMs: Long,
     ) {
-        machine.attempts.toList().forEach { cluster.release(it, nowMs, "its machine was released") }
+        machine.attempts.toList().forEach { cluster.release(it, nowMs, "machine terminated by its last owner") }
         cluster.machines.remove(machine.id)
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/LeaderCondition.kt
+++ b/src/main/kotlin/mintfield/core/ownership/LeaderCondition.kt
@@ -1,16 +1,16 @@
 package mintfield.core.ownership
 
-/** What must hold of the leader key of [shard] for a change of an assignment to be applied. */
+/** A precondition of an assignment change on the leader key of [shard]. */
 sealed interface LeaderCondition {
-    /** The shard whose leader key is meant. */
+    /** The shard whose leader key is checked. */
     val shard: String
 
-    /** The one that makes the change leads the shard, at the term that it knows. */
+    /** The leader key of [shard] is held by the writer of the change, at the term of its transaction. */
     data class Leads(
         override val shard: String,
     ) : LeaderCondition
 
-    /** Nobody leads the shard. */
+    /** The shard has no leader key. */
     data class Leaderless(
         override val shard: String,
     ) : LeaderCondition
--- a/src/main/kotlin/mintfield/core/ownership/LeadershipTransfer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/LeadershipTransfer.kt
@@ -1,8 +1,8 @@
 package mintfield.core.ownership
 
-/** Why a controller transfers the leadership of a shard that it leads; [reason] is logged. */
+/** The cause for which a controller transfers the leadership of a shard; [reason] is logged. */
 sealed interface LeadershipTransfer {
-    /** The reason as a phrase. */
+    /** The cause in words, without a full stop. */
     val reason: String
 
     /** Operators have drained [controller], which leads the shard. */
@@ -12,11 +12,11 @@
         override val reason get() = "$controller is drained"
     }
 
-    /** The controller [home], which should lead [shard], is up. */
+    /** The controller [home], the preferred leader of [shard], is up. */
     data class HomeIsUp(
         val home: String,
         val shard: String,
     ) : LeadershipTransfer {
-        override val reason get() = "$home is up, the home of $shard"
+        override val reason get() = "$home, the home of $shard, is up"
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/LoadMeter.kt
+++ b/src/main/kotlin/mintfield/core/ownership/LoadMeter.kt
@@ -5,11 +5,11 @@
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.Job
 
-/** Measures the load of the shard whose scheduler works with [cluster]. */
+/** Measures the load of the shard whose machines and jobs are in [cluster]. */
 class LoadMeter(
     private val cluster: Cluster,
 ) {
-    /** What a task requires of a machine. Jobs with the same requirement are counted together. */
+    /** The requirements of a task on its machine. Tasks of jobs with equal requirements are counted together. */
     private data class Requirement(
         val compatibleTypes: Set<String>,
         val zone: String?,
@@ -20,41 +20,41 @@
     ) {
         fun fitsOn(kind: MachineKind) = kind.type in compatibleTypes && (zone == null || zone == kind.zone) && (spot || !kind.spot)
 
-        /** How many choices of machine type and zone the task has; jobs with few come first. */
+        /** A measure of how many machine types and zones the task may use, for sorting: tasks with fewer choices are placed first. */
         fun choices() = compatibleTypes.size + if (zone == null) 1 else 0
     }
 
-    /** The room of one machine that no waiting task has taken yet. */
-    private class FreeRoom(
+    /** The free capacity of one machine that is not yet allocated to waiting tasks. */
+    private class FreeCapacity(
         val kind: MachineKind,
         var cpus: Double,
         var gpus: Double,
         var memoryGb: Double,
     ) {
-        /** Gives room to up to [most] tasks of [requirement]; returns to how many. */
-        fun take(
+        /** Allocates capacity to at most [maxTasks] tasks of [requirement]; returns the number of tasks that fit. */
+        fun allocate(
             requirement: Requirement,
-            most: Int,
+            maxTasks: Int,
         ): Int {
-            val tasks = minOf(most, times(cpus, requirement.cpus), times(gpus, requirement.gpus), times(memoryGb, requirement.memoryGb))
+            val tasks = minOf(maxTasks, fitCount(cpus, requirement.cpus), fitCount(gpus, requirement.gpus), fitCount(memoryGb, requirement.memoryGb))
             cpus -= tasks * requirement.cpus
             gpus -= tasks * requirement.gpus
             memoryGb -= tasks * requirement.memoryGb
             return tasks
         }
 
-        /** How many times [each] goes into [room]. */
-        private fun times(
-            room: Double,
+        /** The number of tasks requiring [each] that [capacity] has capacity for. */
+        private fun fitCount(
+            capacity: Double,
             each: Double,
-        ): Int = if (each <= 0) Int.MAX_VALUE else Math.floor((room + ROUNDING) / each).toInt()
+        ): Int = if (each <= 0) Int.MAX_VALUE else Math.floor((capacity + ROUNDING) / each).toInt()
     }
 
-    /** The load now. Takes time in proportion to the unfinished jobs and the machines of the shard. */
+    /** The current load. Its cost is linear in the number of unfinished jobs and machines of the shard. */
     fun measure(): ShardLoad {
         val own = cluster.machines.values.filter { it.state in IN_SERVICE && cluster.ownership.mayStart(it.id) }
         val waiting = waitingTasks()
-        val short = tasksWithoutRoom(waiting, own)
+        val short = tasksWithoutCapacity(waiting, own)
         val runningCpus = cluster.jobs.values.sumOf { it.activeAttempts.size * it.spec.cpus }
         return ShardLoad(
             ownedCpus = own.sumOf { it.type.cpus },
@@ -67,7 +67,7 @@
 
     private fun cpusOf(tasks: Map<Requirement, Int>) = tasks.entries.sumOf { (requirement, count) -> requirement.cpus * count }
 
-    /** How many tasks could start if there were machines for them. Tasks beyond a team's limit do not count: machines would not help them. */
+    /** The tasks that could start if machines had capacity for them. Tasks beyond a team's quota are not counted: more machines would not help. */
     private fun waitingTasks(): Map<Requirement, Int> {
         val waiting = LinkedHashMap<Requirement, Int>()
         val takenCpusByTeam = HashMap<String, Double>()
@@ -90,22 +90,22 @@
         return Requirement(job.compatibleTypes, job.boundZone, spec.spot, spec.cpus, spec.gpus, spec.memoryGb)
     }
 
-    /** The tasks of [waiting] that are left without room on the machines [own]. Those with the fewest choices take room first. */
-    private fun tasksWithoutRoom(
+    /** The tasks of [waiting] that do not fit on the machines [own]. Tasks with the fewest choices are placed first. */
+    private fun tasksWithoutCapacity(
         waiting: Map<Requirement, Int>,
         own: List<Machine>,
     ): Map<Requirement, Int> {
-        val rooms = own.filter { it.state == MachineState.UP }.map { FreeRoom(it.kind, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
-        val withoutRoom = LinkedHashMap<Requirement, Int>()
+        val capacities = own.filter { it.state == MachineState.UP }.map { FreeCapacity(it.kind, it.freeCpus, it.freeGpus, it.freeMemoryGb) }
+        val unplaced = LinkedHashMap<Requirement, Int>()
         for ((requirement, tasks) in waiting.entries.sortedBy { it.key.choices() }) {
             var remaining = tasks
-            for (room in rooms) {
+            for (capacity in capacities) {
                 if (remaining == 0) break
-                if (requirement.fitsOn(room.kind)) remaining -= room.take(requirement, remaining)
+                if (requirement.fitsOn(capacity.kind)) remaining -= capacity.allocate(requirement, remaining)
             }
-            if (remaining > 0) withoutRoom[requirement] = remaining
+            if (remaining > 0) unplaced[requirement] = remaining
         }
-        return withoutRoom
+        return unplaced
     }
 
     private fun allKinds(): List<MachineKind> =
@@ -116,7 +116,7 @@
     private companion object {
         val IN_SERVICE = setOf(MachineState.PROVISIONING, MachineState.UP, MachineState.UNRESPONSIVE)
 
-        /** The error that sums of fractions of a CPU may have. */
+        /** Tolerance for rounding errors in sums of fractional CPUs. */
         const val ROUNDING = 1e-6
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
@@ -5,9 +5,8 @@
 import mintfield.core.fleet.FleetManager
 
 /**
- * Claims machines that have no owner for a shard: those that its leader provisioned, and those that were listed without an owner and fall
- * to the shard by [policy]. A scale-out intent is completed only when all machines that it provisioned are claimed, so that none is lost
- * with its leader.
+ * Claims unowned machines for a shard: those that its leader provisioned, and those in the cloud's listing that [policy] assigns to the
+ * shard. A scale-out intent is completed only when all machines provisioned for it are claimed, so that none is lost if the leader fails.
  */
 internal class MachineClaims(
     private val ownership: ShardOwnership,
@@ -17,7 +16,7 @@
 ) {
     private val intentByMachine = HashMap<String, ScaleOutIntent>()
 
-    /** The cloud has provisioned [machines] for [intent]. Returns whether the intent is completed: all of them have an owner. */
+    /** Records that the cloud has provisioned [machines] for [intent]. Returns whether the intent is completed, that is, all have an owner. */
     fun provisioned(
         intent: ScaleOutIntent,
         machines: List<String>,
@@ -28,27 +27,27 @@
         return unclaimed.isEmpty()
     }
 
-    /** The claims that are to be written now. */
-    fun wantedChanges(nowMs: Long): List<AssignmentChange> {
+    /** The claims to write at [nowMs]. */
+    fun requiredChanges(nowMs: Long): List<AssignmentChange> {
         ownership.removeAssignedClaims()
-        ownership.addClaims(ownerlessMachinesDue(nowMs))
+        ownership.addClaims(dueUnownedMachines(nowMs))
         return ownership.pendingClaims.mapNotNull { machine ->
             Handover.claim(table.assignment(machine), ownership.shard).toChange(AssignmentChange.Kind.CLAIM, machine)
         }
     }
 
-    private fun ownerlessMachinesDue(nowMs: Long): List<String> {
-        // The leader that provisioned a machine claims it itself, so others wait; before the first claim of all, nobody has provisioned any.
+    private fun dueUnownedMachines(nowMs: Long): List<String> {
+        // Waits until the provisioning leader can claim the machine. No wait while the table is empty: no leader has provisioned any yet.
         val lagMs = if (table.assigned.isEmpty()) 0 else fleet.listLagMs()
         return fleet.ownerless
             .filter { (machine, sinceMs) ->
                 val waitedMs = nowMs - sinceMs
-                waitedMs >= lagMs && policy.takes(machine, abandoned = waitedMs > lagMs + ShardingConstants.CLAIM_TIMEOUT_MS)
+                waitedMs >= lagMs && policy.shouldClaim(machine, abandoned = waitedMs > lagMs + ShardingConstants.CLAIM_TIMEOUT_MS)
             }.keys
             .toList()
     }
 
-    /** The claim to [machine] was applied. */
+    /** Records that the claim to [machine] was applied. */
     fun claimed(
         machine: String,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/ownership/MachineKind.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineKind.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.fleet.Machine
 
-/** The properties of a machine that decide whether a job may run there at all. */
+/** The properties of a machine that determine whether a job may run on it, regardless of free capacity. */
 data class MachineKind(
     /** The name of its machine type. */
     val type: String,
--- a/src/main/kotlin/mintfield/core/ownership/MachineTransfer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineTransfer.kt
@@ -6,8 +6,8 @@
     val target: String,
 )
 
-/** Says which of a shard's machines are to move to other shards. */
+/** Decides which machines of a shard move to other shards. */
 fun interface TransferPolicy {
-    /** The moves to be ordered at [nowMs]. */
+    /** The moves to order at [nowMs]. */
     fun transfers(nowMs: Long): List<MachineTransfer>
 }
--- a/src/main/kotlin/mintfield/core/ownership/MoveTimer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MoveTimer.kt
@@ -1,6 +1,6 @@
 package mintfield.core.ownership
 
-/** Times the steps of traced moves that the leader of [shard] takes part in, and passes them to [tracer]. Times are in milliseconds. */
+/** Measures the steps of traced moves that the leader of [shard] takes part in, and reports them to [tracer]. */
 internal class MoveTimer(
     private val shard: String,
     private val tracer: MoveTracer,
@@ -17,10 +17,10 @@
 
     private val observedMoves = HashMap<String, ObservedMove>()
 
-    /** Adopted machines whose workers have not seen the new owner's token yet. */
+    /** Adopted machines whose workers have not seen the new owner's fencing token yet, with the time of the adoption. */
     private val awaitingToken = HashMap<String, Started>()
 
-    /** The assignment table shows the machines [moving], with their assignments. */
+    /** Observes the assignments of all [moving] machines in the assignment table; starts the timing of a step when an assignment changes. */
     fun observeMoves(
         moving: Map<String, Assignment>,
         nowMs: Long,
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The release of [machine] was applied. */
+    /** Ends the release step of [machine]: its release was applied. */
     fun released(
         machine: String,
         nowMs: Long,
@@ -40,7 +40,7 @@
         observedMoves.remove(machine)?.let { ended(MoveStep.RELEASE, machine, it.since, nowMs) }
     }
 
-    /** The adoption of [machine] was applied. */
+    /** Ends the adoption step of [machine], whose adoption was applied, and starts the timing of its first heartbeat. */
     fun adopted(
         machine: String,
         nowMs: Long,
@@ -50,7 +50,7 @@
         awaitingToken[machine] = Started(since.trace, nowMs)
     }
 
-    /** Ends the last step of adopted machines whose workers have seen the new token, as [hasSeenToken] says. */
+    /** Ends the last step of each adopted machine whose worker has seen the new token, according to [hasSeenToken]. */
     fun observeTokens(
         hasSeenToken: (String) -> Boolean,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/ownership/MoveTracer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MoveTracer.kt
@@ -1,15 +1,15 @@
 package mintfield.core.ownership
 
-/** Records moves of machines as traces. A trace passes from controller to controller by its context in the machine's assignment. */
+/** Records machine moves as traces. The trace context is stored in the machine's assignment, so that each controller can add its spans. */
 interface MoveTracer {
-    /** A move from [owner] to [target] is about to be ordered. Returns the context of its trace; null if moves are not traced. */
+    /** Starts the trace of a move from [owner] to [target] that is about to be ordered. Returns the trace context; null if tracing is off. */
     fun ordered(
         machine: String,
         owner: String,
         target: String,
     ): String?
 
-    /** [step] of the move with the trace context [trace] has ended, after [tookMs] milliseconds, at the leader of [shard]. */
+    /** Records that [step] of the move with the trace context [trace] took [tookMs] at the leader of [shard]. */
     fun ended(
         step: MoveStep,
         machine: String,
@@ -18,7 +18,7 @@
         tookMs: Long,
     )
 
-    /** Moves are not traced. */
+    /** A tracer that records nothing. */
     object Off : MoveTracer {
         override fun ordered(
             machine: String,
--- a/src/main/kotlin/mintfield/core/ownership/Ownership.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Ownership.kt
@@ -2,29 +2,29 @@
 
 import mintfield.core.model.JobSpec
 
-/** Which machines a leader may act for, and what it must know of the jobs of other leaders. */
+/** The set of machines that a leader may act for, with the limits on its number of machines and the jobs of other shards. */
 interface Ownership {
-    /** Whether this leader may act for [machine] now, provided that its lease lasts. */
+    /** Whether this leader may act for [machine]. The caller checks that the leader's lease lasts. */
     fun owns(machine: String): Boolean
 
     /** Whether new tasks may be started on [machine]. */
     fun mayStart(machine: String): Boolean
 
-    /** The revision from which on the machine is this leader's; commands to it carry no lower token. */
+    /** The revision since which the shard owns [machine], 0 if unknown. Commands to the machine carry at least this fencing token. */
     fun epoch(machine: String): Long
 
-    /** Whether [machine] certainly has no owner: it is gone, with all that was planned on it. */
-    fun isGone(machine: String): Boolean
+    /** Whether [machine] certainly has no owner: no assignment, and no claim of this leader. Assignments are deleted only after termination. */
+    fun isUnowned(machine: String): Boolean
 
     /** The specification of the unfinished job [job] of another shard; null if there is no such job. */
     fun foreignSpec(job: String): JobSpec?
 
-    /** How many machines this leader is claiming. Until they are its own it provisions no further ones. */
+    /** The number of machines that this leader is claiming. It provisions no more machines until it owns all of them. */
     val claiming: Int
 
-    /** How many more machines may be provisioned. */
+    /** The number of machines that may still be provisioned. */
     val scaleOutHeadroom: Int
 
-    /** Whether an idle machine may be released to the cloud. */
-    val maySpare: Boolean
+    /** Whether an idle machine may be released to the cloud: the shard is above its floor. */
+    val mayReleaseIdle: Boolean
 }
--- a/src/main/kotlin/mintfield/core/ownership/PeerLiveness.kt
+++ b/src/main/kotlin/mintfield/core/ownership/PeerLiveness.kt
@@ -1,10 +1,10 @@
 package mintfield.core.ownership
 
-/** What a controller knows of its peers when it decides who should lead a shard. */
+/** The liveness of peers, as known to a controller that decides which one should lead a shard. */
 interface PeerLiveness {
     /** The names of all peers. */
     val names: Collection<String>
 
-    /** Whether [peer] has been heard lately, and the store serves it. */
+    /** Whether [peer] has sent a message lately, and reported that the store serves it. */
     fun isUpAndServed(peer: String): Boolean
 }
--- a/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Rebalancer.kt
@@ -6,9 +6,9 @@
 import mintfield.core.fleet.MachineState
 
 /**
- * Transfers machines of the shard [shard] to shards with a deficit: tasks must not wait in one shard while a machine of another has room
- * for them, and while all shards are short each is due its fair share by weight. Only the owner transfers machines, few at a time, none
- * below its floor, and only such as the waiting tasks fit on. Tasks on a transferred machine run on there until they end.
+ * Transfers machines of the shard [shard] to shards with a deficit. Tasks must not wait in one shard while a machine of another shard has
+ * capacity for them, and while all shards have a deficit each gets its fair share by weight. Only the owner transfers machines, few at a
+ * time, never below its floor, and only machines that the waiting tasks fit on. Tasks on a transferred machine continue to run there.
  */
 class Rebalancer(
     private val shard: String,
@@ -17,7 +17,7 @@
     private val shards: Shards,
     private val loads: ShardLoads,
 ) {
-    /** A transfer that was ordered and that the load reported by [target] may not show yet. */
+    /** An ordered transfer that the load reported by [target] may not include yet. */
     private class PendingTransfer(
         val target: String,
         val cpus: Double,
@@ -29,16 +29,16 @@
         val target: String,
     )
 
-    /** A shard that is short of [deficitCpus], once all machines that were transferred to it have arrived. */
+    /** The deficit of a shard: it still needs [deficitCpus] in addition to all machines being transferred to it. */
     private class Deficit(
         val shard: String,
         val load: ShardLoad,
         var deficitCpus: Double,
     ) {
-        fun wants(machine: Machine) = deficitCpus > 0 && machine.kind in load.shortOf
+        fun canUse(machine: Machine) = deficitCpus > 0 && machine.kind in load.shortOf
     }
 
-    /** What one round of rebalancing works with. */
+    /** The input of one round of rebalancing. */
     private class Round(
         val own: ShardLoad,
         val others: Map<String, ShardLoad>,
@@ -51,16 +51,16 @@
     private val idleSinceMs = HashMap<String, Long>()
     private val pending = ArrayList<PendingTransfer>()
 
-    /** Since when each shard with a deficit has had it. */
+    /** The time at which the deficit of each shard began. */
     private val deficitSinceMs = HashMap<String, Long>()
     private var lastRoundMs = Machine.NEVER
 
-    /** The transfers to order at [nowMs]; [targets] are the names of all shards. Empty between two rounds. */
+    /** The transfers to order at [nowMs]; [targets] are the names of all shards. Empty if the rebalancing interval has not passed since the last round. */
     fun transfers(
         nowMs: Long,
         targets: Collection<String>,
     ): List<MachineTransfer> {
-        // Observed at each call, so that the time for which a machine has been idle is exact.
+        // Called even if no round is due, so that idle times are measured exactly.
         val idle = longIdleMachines(nowMs)
         if (nowMs - lastRoundMs < ShardingConstants.REBALANCE_INTERVAL_MS) return emptyList()
         lastRoundMs = nowMs
@@ -111,7 +111,7 @@
         return idle.filter { nowMs - idleSinceMs.getOrPut(it.id) { nowMs } >= ShardingConstants.IDLE_TRANSFER_MS }
     }
 
-    /** Idle machines that this shard's own waiting tasks do not fit on, each to the shard with the largest deficit that they fit. */
+    /** Transfers of idle machines that no waiting task of this shard fits on, each to the shard with the largest deficit that can use it. */
     private fun idleTransfers(
         idle: List<Machine>,
         round: Round,
@@ -119,26 +119,26 @@
         val planned = ArrayList<PlannedTransfer>()
         for (machine in idle.filter { it.kind !in round.own.shortOf }) {
             if (planned.size == round.maxTransfers) break
-            val target = round.deficits.filter { it.wants(machine) }.maxByOrNull { it.deficitCpus } ?: continue
+            val target = round.deficits.filter { it.canUse(machine) }.maxByOrNull { it.deficitCpus } ?: continue
             planned.add(PlannedTransfer(machine, target.shard))
             target.deficitCpus -= machine.type.cpus
         }
         return planned
     }
 
-    /** Machines in use, while this shard has more than its fair share, to the one that lacks the most of its own in proportion. */
+    /** Transfers of machines in use to the shard with the largest shortfall relative to its fair share, while this shard exceeds its own. */
     private fun fairShareTransfers(round: Round): List<PlannedTransfer> {
-        val due = fairShares(round)
-        val ownDue = due.getValue(shard)
-        val excess = round.own.ownedCpus - ownDue
-        val target = round.deficits.maxByOrNull { lackOf(it, due) / due.getValue(it.shard) }
-        if (target == null || excess <= ownDue * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
-        val lack = lackOf(target, due)
-        if (lack <= due.getValue(target.shard) * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
-        return transfersOfAtMost(minOf(excess, lack), target, round)
+        val shares = fairShares(round)
+        val ownShare = shares.getValue(shard)
+        val excess = round.own.ownedCpus - ownShare
+        val target = round.deficits.maxByOrNull { shortfallOf(it, shares) / shares.getValue(it.shard) }
+        if (target == null || excess <= ownShare * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
+        val shortfall = shortfallOf(target, shares)
+        if (shortfall <= shares.getValue(target.shard) * ShardingConstants.FAIR_SHARE_TOLERANCE) return emptyList()
+        return transfersOfAtMost(minOf(excess, shortfall), target, round)
     }
 
-    /** The CPUs due to each shard, this one included, out of all that they own together. */
+    /** The fair share in CPUs of each shard, including this one, out of the CPUs that all of them own. */
     private fun fairShares(round: Round): Map<String, Double> {
         val all = round.others + (shard to round.own)
         val claims = all.mapValues { (name, load) -> FairShares.Claim(loads.weight(name), load.wantedCpus) }
@@ -152,7 +152,7 @@
     ): List<PlannedTransfer> {
         val planned = ArrayList<PlannedTransfer>()
         var remainingCpus = cpus
-        for (machine in movableMachines(round.nowMs).filter { target.wants(it) }) {
+        for (machine in movableMachines(round.nowMs).filter { target.canUse(it) }) {
             if (planned.size == round.maxTransfers) break
             if (machine.type.cpus > remainingCpus) continue
             planned.add(PlannedTransfer(machine, target.shard))
@@ -161,24 +161,24 @@
         return planned
     }
 
-    /** One machine with room for the smallest task of a shard that has been short for long, if this shard has no use for that room. */
+    /** Transfer of one machine with capacity for the smallest waiting task of a shard with a long deficit, if this shard has no deficit. */
     private fun capacityTransfer(round: Round): List<PlannedTransfer> {
         if (round.own.shortCpus > 0) return emptyList()
         val target =
             round.deficits
                 .filter { round.nowMs - deficitSinceMs.getValue(it.shard) > ShardingConstants.CAPACITY_TRANSFER_DELAY_MS }
                 .maxByOrNull { it.deficitCpus } ?: return emptyList()
-        val machine = movableMachines(round.nowMs).firstOrNull { target.wants(it) && it.freeCpus >= target.load.smallestCpus }
+        val machine = movableMachines(round.nowMs).firstOrNull { target.canUse(it) && it.freeCpus >= target.load.smallestCpus }
         return listOfNotNull(machine?.let { PlannedTransfer(it, target.shard) })
     }
 
-    /** CPUs that the shard of [deficit] has less than it is due, once all machines that were transferred to it have arrived. */
-    private fun lackOf(
+    /** The CPUs by which the shard of [deficit] is below its fair share, counting the machines being transferred to it. */
+    private fun shortfallOf(
         deficit: Deficit,
-        due: Map<String, Double>,
-    ) = due.getValue(deficit.shard) - deficit.load.ownedCpus - pendingCpus(deficit.shard)
+        shares: Map<String, Double>,
+    ) = shares.getValue(deficit.shard) - deficit.load.ownedCpus - pendingCpus(deficit.shard)
 
-    /** Machines that may be moved while they are in use, those with the most free CPUs first; none that came a short time ago. */
+    /** Machines that may be transferred while in use, most free CPUs first, without those adopted within the minimum stay. */
     private fun movableMachines(nowMs: Long): List<Machine> =
         cluster.machines.values
             .filter {
--- a/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
+++ b/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
@@ -11,8 +11,8 @@
 import mintfield.core.model.TaskState
 
 /**
- * The asking side of foreign tasks: follows the attempts of this shard's jobs on machines that other shards own by now. It asks their
- * leaders, applies their answers to the attempts, and has ended tasks acknowledged once their results are recorded.
+ * The querying side of foreign tasks: tracks the attempts of this shard's jobs on machines that other shards own now. Queries the leaders
+ * of the other shards, applies their responses to the attempts, and has ended tasks acknowledged once their results are recorded.
  */
 class RemoteTaskTracker(
     private val scheduler: Scheduler,
@@ -29,7 +29,7 @@
     private val endedTasks = HashMap<String, MutableMap<TaskId, EndedTask>>()
     private var lastQueryMs = Machine.NEVER
 
-    /** The queries that are due, one for each machine; none between two intervals. */
+    /** The queries due at [nowMs], one for each machine; empty if the query interval has not passed since the last queries. */
     fun dueQueries(nowMs: Long): List<ForeignTaskQuery> {
         if (!scheduler.loaded || nowMs - lastQueryMs < ShardingConstants.FOREIGN_TASK_QUERY_INTERVAL_MS) return emptyList()
         lastQueryMs = nowMs
@@ -49,20 +49,20 @@
 
     private fun actionFor(attempt: Attempt) = if (attempt.state == AttemptState.STOPPING) ForeignTaskRef.Action.STOP else ForeignTaskRef.Action.QUERY
 
-    /** The worker must keep a result until it is recorded, since it is the only one that has it. */
+    /** Whether the worker may delete the ended task. Until its result is recorded, the worker has the only copy. */
     private fun mayBeAcknowledged(ended: EndedTask): Boolean {
         val job = cluster.jobs[ended.task.job] ?: return true
         return !ended.hasResult || job.cancelled || job.progress.isDoneRecorded(ended.task.index)
     }
 
-    /** The owner of the machine has given [answer] to [query]. */
-    fun answered(
+    /** Applies the [response] of the machine's owner to [query]. */
+    fun applyResponse(
         query: ForeignTaskQuery,
-        answer: ForeignTaskAnswer,
+        response: ForeignTaskResponse,
         nowMs: Long,
     ) {
-        if (answer !is ForeignTaskAnswer.Status) return
-        val present = answer.present.associateBy { it.task }
+        if (response !is ForeignTaskResponse.Status) return
+        val present = response.present.associateBy { it.task }
         for (ref in query.tasks) {
             val status = present[ref.task]?.takeIf { it.attempt == ref.attempt }
             if (ref.action == ForeignTaskRef.Action.ACKNOWLEDGE) {
@@ -87,7 +87,7 @@
         if (onMachine.isEmpty()) endedTasks.remove(machine)
     }
 
-    /** The attempt that [ref] means, if it is still on [machine] and that still is another shard's. */
+    /** The attempt that [ref] denotes; null if it is no longer on [machine] or another shard no longer owns the machine. */
     private fun remoteAttempt(
         machine: String,
         ref: ForeignTaskRef,
@@ -96,7 +96,7 @@
             ?.attempt(ref.task.index)
             ?.takeIf { it.number == ref.attempt && it.machine.id == machine && it.machine.state == MachineState.OWNED_ELSEWHERE }
 
-    /** A machine of another shard is of no interest any more once none of this shard's attempts is on it. */
+    /** Removes a machine of another shard once no attempt of this shard is on it. */
     private fun removeIfEmpty(id: String) {
         val machine = cluster.machines[id] ?: return
         if (machine.state == MachineState.OWNED_ELSEWHERE && machine.attempts.isEmpty()) cluster.machines.remove(id)
--- a/src/main/kotlin/mintfield/core/ownership/ShardLoad.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardLoad.kt
@@ -1,15 +1,15 @@
 package mintfield.core.ownership
 
-/** How much work a shard has and how many CPUs for it. Its leader measures it and sends it to the other leaders once a second. */
+/** The demand and capacity of a shard in CPUs. Its leader measures it once a second and sends it to the other leaders. */
 data class ShardLoad(
-    /** CPUs of its machines. */
+    /** CPUs of the shard's machines. */
     val ownedCpus: Double,
-    /** CPUs of its running and waiting tasks together, the waiting ones as far as their teams' limits allow. */
+    /** CPUs of running and waiting tasks together; waiting tasks count up to their teams' quotas. */
     val wantedCpus: Double,
-    /** CPUs of waiting tasks for which its machines have no room. */
+    /** CPUs of the waiting tasks that fit on none of the shard's machines. */
     val shortCpus: Double,
-    /** CPUs of the smallest of these tasks; 0 if there are none. */
+    /** CPUs of the smallest task counted in [shortCpus]; 0 if there is none. */
     val smallestCpus: Double,
-    /** Kinds of machines on which some of these tasks fit. */
+    /** The kinds of machines that could run at least one task counted in [shortCpus]. */
     val shortOf: Set<MachineKind>,
 )
--- a/src/main/kotlin/mintfield/core/ownership/ShardLoads.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardLoads.kt
@@ -1,10 +1,10 @@
 package mintfield.core.ownership
 
-/** What a leader knows of the load of other shards. */
+/** The loads and weights of other shards, as known to a leader. */
 interface ShardLoads {
     /** The load of [shard]; null if its leader has not reported it lately. */
     fun load(shard: String): ShardLoad?
 
-    /** The weight of [shard], by which machines are divided among shards that all want more. */
+    /** The weight of [shard] in the division of machines among shards that all have a deficit. */
     fun weight(shard: String): Double
 }
--- a/src/main/kotlin/mintfield/core/ownership/ShardSettings.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardSettings.kt
@@ -1,21 +1,21 @@
 package mintfield.core.ownership
 
-/** The settings of one shard: a part of the machines, with the teams whose jobs its leader schedules. */
+/** The settings of one shard: a subset of the machines and the teams whose jobs its leader schedules. */
 data class ShardSettings(
     val name: String,
-    /** The controller that should lead the shard while it is up. */
+    /** The controller that should lead the shard whenever it is up and not drained. */
     val home: String,
     val teams: List<String>,
-    /** Machines below which none is taken from the shard or released as idle. */
+    /** The number of machines at or below which none is moved to another shard or released as idle. */
     val floor: Int = 0,
-    /** Machines above which the shard provisions no more. */
+    /** The number of machines up to which the shard provisions more. */
     val ceiling: Int = Int.MAX_VALUE,
-    /** Its part of the machines, relative to the weights of the others, while all want more than there are. */
+    /** Relative weight in the division of machines among shards while all have a deficit. */
     val weight: Double = DEFAULT_WEIGHT,
 ) {
-    /** What holds where operators state nothing. */
+    /** Default values. */
     companion object {
-        /** The weight of a shard without one. */
+        /** The weight of a shard without a configured weight. */
         const val DEFAULT_WEIGHT = 1.0
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardSuccession.kt
@@ -4,20 +4,19 @@
 import mintfield.core.fleet.Machine
 
 /**
- * Which controller should lead a shard: its home if that is up and not drained, else one that is not drained and leads few shards, and a
- * drained one only if nobody else does. Says for the controller [member] when it should campaign for a shard, and when it should transfer
- * one.
+ * Decides when the controller [member] campaigns for a shard and when it transfers one. The leader of a shard should be its home if that is
+ * up and not drained, otherwise a controller that is not drained and leads few shards, and a drained controller only if no other leads.
  */
 class ShardSuccession(
     private val member: String,
     private val peers: PeerLiveness,
-    /** The controllers that operators have drained. */
+    /** Returns the names of the drained controllers. */
     private val drained: () -> Set<String>,
 ) {
     private val successorSinceMs = HashMap<String, Long>()
     private var lastDrainMs = Machine.NEVER
 
-    /** Milliseconds to wait before a campaign for [shard] while leading [ledShards] others, so that whoever should lead it goes first. */
+    /** Milliseconds to wait before a campaign for [shard] while leading [ledShards] others, so that preferred controllers campaign first. */
     fun campaignDelayMs(
         shard: ShardSettings,
         ledShards: Int,
@@ -29,7 +28,7 @@
             else -> ShardingConstants.HOME_HEAD_START_MS + ledShards * ShardingConstants.LED_SHARD_CAMPAIGN_DELAY_MS
         }
 
-    /** The transfer of [shard], which this controller leads, if it is due now; null if it is not. To be asked again and again. */
+    /** The transfer of [shard], which this controller leads; null if none is due. Must be polled, since stability is measured between calls. */
     fun transferDue(
         shard: ShardSettings,
         nowMs: Long,
@@ -55,7 +54,7 @@
         return if (stable) LeadershipTransfer.HomeIsUp(shard.home, shard.name) else null
     }
 
-    /** Whether [shard] has had a successor for [stableMs]. Once this was true, it is not again before the same time has passed. */
+    /** Whether [shard] has had a successor for [stableMs]. A result of true restarts the period. */
     private fun hasStableSuccessor(
         shard: ShardSettings,
         hasSuccessor: Boolean,
--- a/src/main/kotlin/mintfield/core/ownership/ShardingSettings.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardingSettings.kt
@@ -3,21 +3,20 @@
 import mintfield.core.model.Settings
 
 /**
- * How operators divide the machines among the controllers. Every team belongs to exactly one shard, so that one leader alone keeps its
- * limit.
+ * The operators' settings for sharding. Every team belongs to exactly one shard, so that a single leader enforces its quota.
  */
 data class ShardingSettings(
     val shards: List<ShardSettings>,
 ) {
     private val shardByTeam = shards.flatMap { shard -> shard.teams.map { it to shard } }.toMap()
 
-    /** The settings of the shard [name]; null if there is none of that name. */
+    /** The settings of the shard [name]; null if it is not configured. */
     fun shard(name: String): ShardSettings? = shards.firstOrNull { it.name == name }
 
     /** The shard whose leader schedules the jobs of [team]; null for an unknown team. */
     fun ofTeam(team: String): ShardSettings? = shardByTeam[team]
 
-    /** The first thing that does not fit the platform's [settings]; null if all does. */
+    /** The first conflict with the platform's [settings]; null if there is none. */
     fun problem(settings: Settings): ShardingSettingsProblem? {
         val controllers = settings.peers.map { it.member } + settings.member
         val teams = settings.teams.map { it.name }
--- a/src/main/kotlin/mintfield/core/ownership/ShardingSettingsProblem.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardingSettingsProblem.kt
@@ -1,10 +1,10 @@
 package mintfield.core.ownership
 
-/** Why the operators' sharding settings do not fit the platform's: the field at [path] as it is written in the file, and the [reason]. */
+/** A conflict of the operators' sharding settings with the platform's: the [path] of the field in the settings file and the [reason]. */
 data class ShardingSettingsProblem(
     val path: String,
     val reason: String,
 ) {
-    /** Both, as they are printed. */
+    /** The path and the reason, as printed for operators. */
     val message: String get() = "$path: $reason"
 }
--- a/src/main/kotlin/mintfield/core/ownership/Shards.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Shards.kt
@@ -1,18 +1,18 @@
 package mintfield.core.ownership
 
-/** What a decision about a move must know of the shards: which are configured, which have a leader, and how many machines they can spare. */
+/** The state of the shards that decisions about moves depend on: configuration, leaders and number of machines above the floor. */
 interface Shards {
     /** Whether [shard] is configured. */
     fun isKnown(shard: String): Boolean
 
-    /** Whether [shard] has a leader, as far as is known here. */
+    /** Whether [shard] has a leader, according to this controller's possibly outdated knowledge. */
     fun isLive(shard: String): Boolean
 
-    /** How many machines [shard] may give away without falling below its floor. */
+    /** The number of machines that [shard] can transfer without falling below its floor; negative if it is below its floor already. */
     fun spare(shard: String): Int
 }
 
-/** The shards of [settings], with their machines as [table] shows them; [hasLeader] says whether a shard has a leader. */
+/** The shards of [settings], with machine counts from [table]; [hasLeader] returns whether a shard has a leader. */
 class ConfiguredShards(
     private val settings: ShardingSettings,
     private val table: AssignmentTable,
--- a/src/main/kotlin/mintfield/core/ownership/WeightedClaims.kt
+++ b/src/main/kotlin/mintfield/core/ownership/WeightedClaims.kt
@@ -3,8 +3,8 @@
 import com.google.common.hash.Hashing
 
 /**
- * Divides machines without an owner among the shards [all] in proportion to their weights. All leaders come to the same result without
- * communicating, and a machine that is listed again falls to the same shard. The algorithm is rendezvous hashing (Thaler and Ravishankar,
+ * Divides unowned machines among the shards [all] in proportion to their weights. All leaders compute the same result without
+ * communication, and the same machine always falls to the same shard. The algorithm is rendezvous hashing (Thaler and Ravishankar,
  * "Using Name-Based Mappings to Increase Hit Rates", 1998) with the weighted score `-weight / ln(hash)` (Resch, "New Hashing Algorithms
  * for Data Storage", 2015).
  */
@@ -13,7 +13,7 @@
     private val all: List<ShardSettings>,
     private val isLive: (String) -> Boolean,
 ) : ClaimPolicy {
-    override fun takes(
+    override fun shouldClaim(
         machine: String,
         abandoned: Boolean,
     ): Boolean {
@@ -27,7 +27,7 @@
         candidate: ShardSettings,
     ): Double {
         val hash = Hashing.murmur3_128().hashUnencodedChars("$machine ${candidate.name}").asLong()
-        // Uniform between 0 and 1, without the ends: the logarithm of 0 is not finite, and one of 1 cannot be divided by.
+        // Uniform in the open interval (0, 1): the logarithm of 0 is not finite, and the logarithm of 1 is 0 and cannot be a divisor.
         val uniform = ((hash ushr SHIFT) + HALF_STEP) / (1L shl MANTISSA_BITS)
         return -candidate.weight / Math.log(uniform)
     }
@@ -36,7 +36,7 @@
         const val MANTISSA_BITS = 52
         const val SHIFT = Long.SIZE_BITS - MANTISSA_BITS
 
-        /** Moves each value to the middle of its interval. */
+        /** Moves each value to the middle of its interval, so that neither 0 nor 1 occurs. */
         const val HALF_STEP = 0.5
     }
 }
--- a/src/main/kotlin/mintfield/core/ownership/WholeFleet.kt
+++ b/src/main/kotlin/mintfield/core/ownership/WholeFleet.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.model.JobSpec
 
-/** The ownership without sharding: one leader owns all machines and schedules all jobs. */
+/** Ownership without sharding: a single leader owns all machines and schedules all jobs. */
 object WholeFleet : Ownership {
     override fun owns(machine: String) = true
 
@@ -10,7 +10,7 @@
 
     override fun epoch(machine: String) = 0L
 
-    override fun isGone(machine: String) = false
+    override fun isUnowned(machine: String) = false
 
     override fun foreignSpec(job: String): JobSpec? = null
 
@@ -18,5 +18,5 @@
 
     override val scaleOutHeadroom get() = Int.MAX_VALUE
 
-    override val maySpare get() = true
+    override val mayReleaseIdle get() = true
 }
