--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -60,7 +60,7 @@
         nowMs: Long,
     ) {
         if (!cluster.ownership.owns(entry.id)) {
-            if (cluster.ownership.isGone(entry.id) && entry.id !in released) unowned.putIfAbsent(entry.id, nowMs)
+            if (cluster.ownership.isUnowned(entry.id) && entry.id !in released) unowned.putIfAbsent(entry.id, nowMs)
             return
         }
         unowned.remove(entry.id)
