--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -120,20 +120,20 @@
 
     private fun leaderOf(shard: String): String? = elections.leaderOf(shard)
 
-    private fun isShortOfSockets(): Boolean = clientServer.connectionCount >= limits.shortConnectionsFrom
+    private fun isShortOfSockets(): Boolean = clientServer.connectionCount >= limits.keepAliveLimit
 
     /** Runs the controller in the calling thread, until [stop] is called. */
     fun run() {
-        FleetCapacityCheck(settings).shortcomings(Runtime.getRuntime().maxMemory()).forEach(Log::info)
+        FleetCapacityCheck(settings).shortages(Runtime.getRuntime().maxMemory()).forEach(Log::info)
         loop.start()
         loop.post { start() }
         loop.join()
     }
 
     private fun start() {
-        launch("peer port") { HttpServer(loop, scope, group, limits.fromPeers, peerServer::receive).startWhenFree(address(settings.internalAddress)) }
+        launch("peer port") { HttpServer(loop, scope, group, limits.peerConnections, peerServer::receive).startWhenFree(address(settings.internalAddress)) }
         services.store.onContact = health::storeContact
-        replicator.onComplete = cancellationWatermark::viewed
+        replicator.onComplete = cancellationWatermark::storeReadCompleted
         userWrites.onCongestion = elections::yieldToUsers
         sharding?.let { shared -> launch("assignments") { shared.assignments.follow() } }
         elections.members.forEach { member -> launch("election ${member.shard?.name.orEmpty()}".trim()) { member.run() } }
--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -33,14 +33,14 @@
         return load
     }
 
-    override fun cancellationsRead(peer: String) = cancellationWatermark.progressOf(peer)
+    override fun cancellationsRead(peer: String) = cancellationWatermark.positionOf(peer)
 
     override fun cancellationsReceived(
         peer: String,
         page: CancellationPage,
         askedAtMs: Long,
     ) {
-        cancellationWatermark.answered(peer, page, askedAtMs, loop.nowMs())
+        cancellationWatermark.pageReceived(peer, page, askedAtMs, loop.nowMs())
         for (leader in elections.leaders) page.ids.forEach { leader.scheduler.cancellationConfirmedByPeer(it, loop.nowMs()) }
     }
 }
--- a/src/main/kotlin/mintfield/app/PeerRequests.kt
+++ b/src/main/kotlin/mintfield/app/PeerRequests.kt
@@ -46,7 +46,7 @@
     override fun cancellationsAfter(
         incarnation: Long,
         next: Long,
-    ) = cancellations.after(incarnation, next)
+    ) = cancellations.pageFrom(incarnation, next)
 
     override suspend fun relayedUserRequest(
         method: String,
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -168,7 +168,7 @@
         body: ByteArray,
     ): Response {
         val heartbeat = reader.read(body) ?: return notAHeartbeat()
-        return redirect(peerRedirects.offer(heartbeat.machine, health.reachablePeerExcept(silentLeader), loop.nowMs()))
+        return redirect(peerRedirects.redirectTarget(heartbeat.machine, health.reachablePeerExcept(silentLeader), loop.nowMs()))
     }
 
     /** Sends the worker to the controller [to], or if that is null to whichever comes next in its list. */
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -26,7 +26,7 @@
 
     /** Sends what the scheduler wants sent now, each call in a coroutine of its own. */
     fun sendDue() {
-        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.bounds.directCalls - callsUnderWay)) {
+        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.connectionLimits.directCalls - callsUnderWay)) {
             callsUnderWay++
             scope.launch {
                 try {
@@ -39,11 +39,11 @@
     }
 
     private suspend fun send(call: DirectCall) {
-        val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
+        val client = services.worker(call.address) ?: return scheduler.directCallUnanswered(call, sent = false, loop.nowMs())
         val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
         when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
             is Reply.Answer -> take(reply, call)
-            is Reply.None -> scheduler.directUnanswered(call, reply.sent, loop.nowMs())
+            is Reply.None -> scheduler.directCallUnanswered(call, reply.sent, loop.nowMs())
         }
     }
 
@@ -54,7 +54,7 @@
         val isRefused = answer.status == HttpStatus.CONFLICT
         val heartbeat = if (answer.status == HttpStatus.OK || isRefused) HeartbeatCodec.decode(answer.body) else null
         if (isRefused) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
-        scheduler.directAnswered(call, heartbeat, loop.nowMs())
+        scheduler.directCallResponded(call, heartbeat, loop.nowMs())
         answered()
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -157,7 +157,7 @@
         if (result !is StoreResult.Ok) return delay(StoreConstants.STORE_RETRY_MS)
         val entry = result.value
         if (entry == null || !tenure.owns(entry)) return deposed("another leader has come")
-        scheduler.raised(entry.revision, loop.nowMs())
+        scheduler.termRaised(entry.revision, loop.nowMs())
     }
 
     /** Answers [heartbeat]; waits for a while if the machine is behind a zone fence, which may be lifted. */
--- a/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
@@ -53,6 +53,6 @@
         when (contact) {
             StoreClient.Contact.SERVED -> store.served()
             StoreClient.Contact.REFUSED -> store.refused(nowMs())
-            StoreClient.Contact.UNRESPONSIVE -> store.noAnswer(nowMs())
+            StoreClient.Contact.UNRESPONSIVE -> store.noResponse(nowMs())
         }
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -31,7 +31,7 @@
     services: ExternalServices,
     private val health: PeerHealth,
 ) {
-    private val lanesPerPeer = ConnectionLimits(settings).relayLanes
+    private val lanesPerPeer = ConnectionLimits(settings).maxConcurrentRelays
     private val lanes = settings.peers.associate { it.member to Semaphore(lanesPerPeer) }
     private val lastAnswerAtMs = HashMap<String, Long>()
 
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -51,9 +51,9 @@
 
     /** Whether all controllers are known to run [generation] or a later one. May ask the store. */
     suspend fun allHave(generation: Int): Boolean {
-        if (versions.lacking(generation).isEmpty()) return true
+        if (versions.peersBelow(generation).isEmpty()) return true
         if (loop.nowMs() - readAtMs >= UserApiConstants.VERSION_RETRY_MS) read()
-        val lacking = versions.lacking(generation)
+        val lacking = versions.peersBelow(generation)
         if (lacking.isNotEmpty()) Log.info("not known to run generation $generation: $lacking")
         return lacking.isEmpty()
     }
--- a/src/main/kotlin/mintfield/core/CloudCall.kt
+++ b/src/main/kotlin/mintfield/core/CloudCall.kt
@@ -1,22 +1,22 @@
 package mintfield.core
 
-/** A request that the leader wants sent to the cloud. Each can be repeated without harm. */
+/** A request from the leader to the cloud API. Every request is idempotent. */
 sealed interface CloudCall {
-    /** Provision the instances of a recorded intent. */
+    /** Provisions the instances of a recorded intent. */
     data class Provision(
         val intent: ScaleOutIntent,
     ) : CloudCall
 
-    /** Delete these machines. */
+    /** Deletes [machines], given by id. */
     data class Release(
         val machines: List<String>,
     ) : CloudCall
 
-    /** Read the page of the machine list after the machine [after]; the first page if it is null. */
+    /** Reads the page of the machine list that follows the machine [after], or the first page if [after] is null. */
     data class ListPage(
         val after: String?,
     ) : CloudCall
 
-    /** Read the machine types with their current prices. */
+    /** Reads the machine types with their current prices. */
     data object Types : CloudCall
 }
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -16,22 +16,22 @@
 import mintfield.core.ownership.Ownership
 import mintfield.core.ownership.WholeFleet
 
-/** The state of the leader's core: unfinished jobs, machines, and which attempt of which task occupies which machine. */
+/** The leader's scheduling state: unfinished jobs, machines, and the attempts that occupy machines. */
 class Cluster(
     val settings: Settings,
-    /** The term at the election; later ones of the same leader are higher. */
+    /** The term at the election. The leader's later terms are higher. */
     val firstTerm: Long,
     val ownership: Ownership = WholeFleet,
-    /** What the state service permits now. */
+    /** The limits that the state service enforces at present. */
     private val stateLimits: StateLimitsInForce = StateLimitsInForce(settings),
     private val log: (String) -> Unit,
 ) {
     val limits: StateLimits get() = stateLimits.current
     val timings = Timings(settings)
-    val bounds = ConnectionLimits(settings)
+    val connectionLimits = ConnectionLimits(settings)
     val quotas = TeamQuotas(settings)
 
-    /** The leader's term, which is the revision of the leader key. */
+    /** The leader's current term: the revision of the leader key. */
     var term = firstTerm
         private set
     val runTimes = RunTimes()
@@ -42,55 +42,57 @@
     val machines = LinkedHashMap<String, Machine>()
     private var lastAttemptNumber = 0L
 
-    /** Jobs that have failed and not succeeded. */
+    /** Jobs with failed attempts and no successful one. */
     val unprovenJobs = LinkedHashSet<Job>()
 
-    /** Jobs to be cancelled because a predecessor is. */
+    /** Jobs to be cancelled because a predecessor was cancelled. */
     val cancelledByDependency = LinkedHashSet<Job>()
 
-    /** Set when a job has become ready: its round need not wait until the next one is due. */
-    var roundWanted = false
+    /** Set when a job has become ready, to run a scheduling round before the next one is due. */
+    var roundRequested = false
 
-    /** When the replay of this leader ended. */
+    /** Time at which this leader's replay ended, on the steady clock. */
     var replayedAtMs = 0L
 
-    /** Until when nothing is planned, since a record could not be read. */
-    var holdUntilMs = 0L
+    /** Time before which no scheduling round places tasks, because a round record could not be read. */
+    var planningSuspendedUntilMs = 0L
 
-    /** Set when something waits for workers to see a higher term. */
-    var raiseWanted = false
+    /** Set when an operation depends on workers having seen a higher term than the current one. */
+    var termRaiseRequested = false
 
-    /** The leader key was rewritten at revision [newTerm]: whoever waited for a higher term has it. */
+    /** Adopts [newTerm], the revision at which the leader key was rewritten, and clears [termRaiseRequested]. */
     fun termRaised(newTerm: Long) {
         term = newTerm
-        raiseWanted = false
+        termRaiseRequested = false
     }
 
     /** The fencing token of commands to [machine]: the leader's term, or the machine's ownership epoch if that is higher. */
     fun token(machine: Machine): Long = maxOf(term, machine.lease.epoch)
 
-    /** Whether [machine] has seen a token that only this leader has given it, so that nobody else has renewed its lease since. */
+    /** Whether [machine] has seen a token that only this leader issues. No other controller can have renewed its lease since then. */
     fun hasSeenOurToken(machine: Machine): Boolean = machine.termSeen >= maxOf(firstTerm, machine.lease.epoch)
 
     /**
-     * A number for the attempts of one round that no earlier round or leader has used. It counts as used only with [attemptUsed]:
-     * an attempt that is planned costs a write and so a revision. Since a term's numbers begin at a multiple of its revision, they
-     * never reach those of the next term.
+     * Returns an attempt number for one scheduling round, unused by earlier rounds and leaders. The number stays available until
+     * [attemptUsed] is called with it.
+     *
+     * The numbers of a term start at a multiple of its revision. They never reach those of the next term, because each planned
+     * attempt costs a write and therefore a revision.
      */
     fun attemptNumber(): Long = maxOf(lastAttemptNumber + 1, term * LeadershipConstants.ATTEMPTS_PER_TERM)
 
-    /** An attempt was planned with [number], which is not given out again. */
+    /** Marks [number] as used by a planned attempt, so that it is not returned again. */
     fun attemptUsed(number: Long) {
         lastAttemptNumber = number
     }
 
-    /** The most tasks that one round may place, in proportion to the CPUs of the fleet. */
+    /** The maximum number of tasks that one round may place, in proportion to the CPUs of the machines that are up. */
     fun roundTasks(): Int {
         val cpus = machines.values.sumOf { if (it.state == MachineState.UP) it.type.cpus else 0.0 }
         return maxOf(PlacementConstants.MIN_ROUND_TASKS, (cpus * PlacementConstants.ROUND_TASKS_PER_CPU).toInt())
     }
 
-    /** Lets attempt [number] of task [index] of [job] occupy [machine], to be started in [incarnation] of its worker. */
+    /** Binds attempt [number] of task [index] of [job] to [machine], for a start in [incarnation] of its worker. */
     fun occupy(
         job: Job,
         index: Int,
@@ -105,7 +107,7 @@
         return attempt
     }
 
-    /** Frees what [attempt] occupies. Only to be called with proof that it is not on its machine and will not come to be there. */
+    /** Frees the resources of [attempt]. Requires [proof] that the attempt is not running on its machine and cannot start there later. */
     fun release(
         attempt: Attempt,
         nowMs: Long,
@@ -117,13 +119,13 @@
         attempt.machine.vacate(attempt)
         job.progress.remove(attempt)
         quotas.usage(job.spec.team).subtract(job.spec)
-        // The record still names the old machine: unless it is written anew, a successor waits for proof from a machine long gone.
+        // Until the job's record is rewritten it names the old machine, and a new leader would wait for proof from a machine that no longer exists.
         job.unwritten.waitSince(nowMs)
-        val isRoutine = proof == DONE || proof == DESCRIBED_ANEW || proof == NEVER_SENT
+        val isRoutine = proof == DONE || proof == SUPERSEDED || proof == NEVER_SENT
         if (!isRoutine) log("released ${job.spec.id}/${attempt.index} attempt ${attempt.number} from ${attempt.machine.id}: $proof")
     }
 
-    /** Wants [attempt] gone: at once if its start was never sent, else by a stop and proof. [quietly]: another log line covers it. */
+    /** Ends [attempt]: releases it at once if its start was never sent, otherwise stops it and awaits proof. With [quietly] it logs nothing. */
     fun stop(
         attempt: Attempt,
         nowMs: Long,
@@ -136,13 +138,13 @@
         attempt.moveTo(AttemptState.STOPPING, nowMs)
     }
 
-    /** Stops all tasks of the cancelled [job], with no log line for each. */
+    /** Stops all active attempts of the cancelled [job] without a log line for each. */
     fun stopAll(
         job: Job,
         nowMs: Long,
     ) = job.activeAttempts.toList().forEach { stop(it, nowMs, "cancelled", quietly = true) }
 
-    /** Task [index] of [job] has completed. */
+    /** Records that task [index] of [job] has completed. */
     fun markDone(
         job: Job,
         index: Int,
@@ -152,18 +154,18 @@
         job.unwritten.waitSince(nowMs)
     }
 
-    /** The task that [attempt] is one of. */
+    /** The id of the task of [attempt]. */
     fun taskId(attempt: Attempt) = TaskId(attempt.job.spec.id, attempt.index)
 
-    /** Proofs for [release] that are so common that they are not logged. */
+    /** Proofs for [release] that occur in normal operation and are therefore not logged. */
     companion object {
         /** The task has completed. */
         const val DONE = "done"
 
-        /** Its start was never sent. */
+        /** The start of the attempt was never sent. */
         const val NEVER_SENT = "never sent"
 
-        /** A later record, or the lack of one, replaces what was known of the attempt. */
-        const val DESCRIBED_ANEW = "described anew"
+        /** The state of the attempt was replaced by a later record or by the removal of its record. */
+        const val SUPERSEDED = "superseded"
     }
 }
--- a/src/main/kotlin/mintfield/core/ClusterSummary.kt
+++ b/src/main/kotlin/mintfield/core/ClusterSummary.kt
@@ -4,7 +4,7 @@
 import mintfield.core.fleet.MachineState
 import mintfield.core.jobs.JobHealth
 
-/** One line for the log on what the leader schedules: jobs, attempts by state, machines by state and free CPUs. */
+/** Formats the leader's periodic log line: jobs, attempts by state, machines by state and free CPUs. */
 internal fun clusterSummary(
     cluster: Cluster,
     fleet: FleetManager,
--- a/src/main/kotlin/mintfield/core/Commit.kt
+++ b/src/main/kotlin/mintfield/core/Commit.kt
@@ -1,29 +1,29 @@
 package mintfield.core
 
-/** A set of writes that is carried out whole or not at all, with the precondition that the leader key is at revision [term]. */
+/** A transaction on the state service: all [writes] or none, with the precondition that the leader key is at revision [term]. */
 class Commit(
     val term: Long,
     val writes: List<Write>,
 ) {
-    /** The revisions of the jobs concerned, as known when the commit was made. They are preconditions, whatever is learned before its answer. */
+    /** Preconditions: revision by id of each guarded job, taken when the commit was created and unaffected by later changes. */
     val guardRevisions: Map<String, Long> = writes.flatMap { it.guardedJobs }.associate { it.id to it.revision }
 }
 
-/** What became of a [Commit]. */
+/** The outcome of a [Commit]. */
 sealed interface CommitResult {
     /** Everything was written, at [revision]. */
     data class Done(
         val revision: Long,
     ) : CommitResult
 
-    /** Nothing was written, since the records of these [jobs] have changed. */
+    /** Nothing was written, because the records of [jobs] have changed. */
     data class Conflict(
         val jobs: Set<String>,
     ) : CommitResult
 
-    /** Nothing was written; to be tried again. */
+    /** Nothing was written. The commit may be retried. */
     data object Refused : CommitResult
 
-    /** Whether it was written, or will be, is not known. The term must rise before anything relies on it. */
+    /** It is unknown whether the commit was or will be applied. The term must be raised before anything depends on the outcome. */
     data object Unknown : CommitResult
 }
--- a/src/main/kotlin/mintfield/core/CommitBatch.kt
+++ b/src/main/kotlin/mintfield/core/CommitBatch.kt
@@ -1,16 +1,16 @@
 package mintfield.core
 
-/** The writes of one transaction while it is put together, and how many more there is room for. */
+/** Collects the writes of one transaction and counts the remaining capacity. */
 internal class CommitBatch(
     remaining: Int,
 ) {
-    /** How many further writes there is room for; negative if the last one took more. */
+    /** Number of further writes that fit; negative if the last write exceeded the capacity. */
     var remaining = remaining
         private set
 
     val writes = ArrayList<Write>()
 
-    /** Adds [write], which takes [cost] of the permitted writes. */
+    /** Adds [write], which uses [cost] of the capacity. */
     fun add(
         write: Write,
         cost: Int = 1,
@@ -19,17 +19,17 @@
         remaining -= cost
     }
 
-    /** Adds the writes for [candidates], from the first on, as long as there is room. */
+    /** Adds the writes for [candidates] in order until the capacity is used up. */
     fun <T> addAll(
         candidates: Sequence<T>,
         write: (T) -> Write,
     ) = candidates.take(maxOf(0, remaining)).forEach { add(write(it)) }
 
-    /** Lets [fill] add to [writes]; it is given the room that is left, and returns how much of it was taken. */
+    /** Calls [fill] with [writes] and the remaining capacity. It adds to the writes and returns the capacity that it used. */
     inline fun addBy(fill: (MutableList<Write>, Int) -> Int) {
         remaining -= fill(writes, remaining)
     }
 
-    /** Whether a write of [cost] has to wait for the next transaction. The first one never has to. */
-    fun lacksRoomFor(cost: Int): Boolean = remaining < cost && writes.isNotEmpty()
+    /** Whether a write of [cost] must wait for the next transaction. The first write of a transaction never does. */
+    fun isFullFor(cost: Int): Boolean = remaining < cost && writes.isNotEmpty()
 }
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -12,7 +12,7 @@
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.PlanJournal
 
-/** Decides what the leader writes next, after running the scheduling rounds that are due, and takes in what became of each commit. */
+/** Runs the scheduling rounds that are due, plans the leader's next transaction, and applies the outcome of each commit to the state. */
 class CommitPlanner(
     private val cluster: Cluster,
     private val fleet: FleetManager,
@@ -20,8 +20,8 @@
     private val planJournal: PlanJournal,
     failureAttribution: FailureAttribution,
     inheritedUrgency: InheritedUrgency,
-    /** Told of a job that has ended or whose record was deleted, and the time. */
-    private val ended: (String, Long) -> Unit,
+    /** Called with the id of a job that has ended or whose record was deleted, and the time. */
+    private val onJobEnded: (String, Long) -> Unit,
     private val log: (String) -> Unit,
 ) {
     private val rounds = RoundTrigger(cluster, failureAttribution, inheritedUrgency, log)
@@ -30,8 +30,9 @@
     private var raiseNow = false
 
     /**
-     * The next transaction: what a scheduling round has planned, and everything else to be written, the urgent first. The pace
-     * permits [ops] writes now; with [yielding] users wait for writes of their own. Null if there is nothing to write.
+     * Returns the next transaction, with urgent writes first, or null if there is nothing to write. It holds the plans of the
+     * scheduling rounds and all other pending writes. The rate limit permits [ops] writes now. [yielding] is true while users wait
+     * for writes of their own.
      */
     fun next(
         nowMs: Long,
@@ -49,23 +50,24 @@
         addFinished(batch)
         addRounds(batch, scarce, nowMs)
         addScaleOutIntents(batch)
-        // While users wait for their writes, garbage collection can wait for them.
+        // Garbage collection yields to the writes that users wait for.
         if (!yielding || planJournal.obsoleteRounds.size >= MAX_OBSOLETE_ROUNDS) addGarbageCollection(batch, nowMs)
         return if (batch.writes.isEmpty()) null else Commit(cluster.term, batch.writes)
     }
 
-    private fun isRaiseDue(nowMs: Long): Boolean = raiseNow || (cluster.raiseWanted && nowMs - lastRaiseMs >= LeadershipConstants.MIN_TERM_RAISE_INTERVAL_MS)
+    private fun isRaiseDue(nowMs: Long): Boolean =
+        raiseNow || (cluster.termRaiseRequested && nowMs - lastRaiseMs >= LeadershipConstants.MIN_TERM_RAISE_INTERVAL_MS)
 
-    /** Machines wait for a fence to be lifted, and a successor's proof of expired leases depends on one that is written. */
+    /** Machines wait for fences to be lifted, and a new leader relies on recorded fences as proof of expired leases. */
     private fun addZoneFences(batch: CommitBatch) {
         batch.addAll(zoneFencing.fencesToLift.asSequence()) { Write.LiftZoneFence(it) }
         batch.addAll(zoneFencing.fencesToWrite.asSequence()) { Write.FenceZone(it) }
     }
 
-    /** The users of their predecessors have been told of the cancellation: within `cancel_s` these jobs must be cancelled as well. */
+    /** Cancels jobs with a cancelled predecessor. They must be cancelled within `cancel_s` of its cancellation being confirmed to the user. */
     private fun addCancelledSuccessors(batch: CommitBatch) {
         for (job in cluster.cancelledByDependency) {
-            if (batch.lacksRoomFor(FINISH_COST)) return
+            if (batch.isFullFor(FINISH_COST)) return
             if (job.cancellationRecorded || job.finishing || job.unreadable || job.begun) continue
             batch.add(Write.CancelSuccessor(job), FINISH_COST)
         }
@@ -74,7 +76,7 @@
     private fun addFinished(batch: CommitBatch) {
         for (job in cluster.jobs.values) {
             if (batch.remaining <= 0) return
-            if (!isFinished(job) || batch.lacksRoomFor(FINISH_COST)) continue
+            if (!isFinished(job) || batch.isFullFor(FINISH_COST)) continue
             batch.add(Write.FinishJob(job), FINISH_COST)
         }
     }
@@ -91,12 +93,12 @@
     ) {
         planJournal.refresh(nowMs)
         val doneDelayMs = if (scarce) PlacementConstants.DONE_BATCH_DELAY_SCARCE_WRITES_MS else PlacementConstants.DONE_BATCH_DELAY_MS
-        batch.addBy { writes, room -> planJournal.add(writes, room, doneDelayMs, nowMs) }
+        batch.addBy { writes, capacity -> planJournal.add(writes, capacity, doneDelayMs, nowMs) }
     }
 
     private fun addScaleOutIntents(batch: CommitBatch) {
         batch.addAll(fleet.wantedIntents.asSequence().take(1)) { Write.WriteIntent(it) }
-        // A successor would carry out an intent that is left behind once more, at the slow pace of cloud requests.
+        // A new leader would repeat any remaining intent, at the low rate of cloud requests.
         batch.addAll(fleet.completedIntents.asSequence()) { Write.DeleteIntent(it) }
     }
 
@@ -104,16 +106,16 @@
         batch: CommitBatch,
         nowMs: Long,
     ) {
-        val cancelledAndGone =
+        val cancelledWithoutAttempts =
             cluster.jobs.values
                 .asSequence()
                 .filter { it.cancellationRecorded && it.activeAttempts.isEmpty() && !it.finishing }
-        batch.addAll(cancelledAndGone) { Write.DeleteJobRecord(it) }
+        batch.addAll(cancelledWithoutAttempts) { Write.DeleteJobRecord(it) }
         if (batch.remaining > 0) learnedStateBlocks.due(nowMs)?.let { batch.add(it) }
         planJournal.obsoleteRounds.take(maxOf(0, batch.remaining - GC_RESERVE)).forEach { batch.add(Write.DeleteRound(it)) }
     }
 
-    /** Takes in the [result] of [commit]. */
+    /** Applies the [result] of [commit] to the leader's state. */
     fun committed(
         commit: Commit,
         result: CommitResult,
@@ -128,20 +130,20 @@
             CommitResult.Refused -> planJournal.putBack(commit.writes, nowMs)
             CommitResult.Unknown -> {
                 planJournal.putBack(commit.writes, nowMs)
-                // Its round records may be there all the same, and must be deleted in the end if they are.
+                // The round records may have been written nonetheless, and then have to be deleted eventually.
                 commit.writes.forEach { if (it is Write.RecordRound) planJournal.deleteLater(it.key) }
                 raiseNow = true
             }
         }
     }
 
-    /** The job's record has changed, because its user has cancelled it: the replica will tell. What was never written was never sent. */
+    /** Handles a record that its user changed by cancelling [job]; the replica delivers the change. Unwritten plans were never sent and end here. */
     private fun conflicted(
         job: Job,
         guardedRevision: Long?,
         nowMs: Long,
     ) {
-        // The replica may have told of the change before the answer came; then nothing else will reset `finishing`.
+        // If the replica delivered the change before the response arrived, nothing else resets `finishing`.
         if (job.revision != guardedRevision) return
         job.activeAttempts.filter { it.state == AttemptState.PLANNING }.forEach { cluster.stop(it, nowMs, "the job changed") }
         job.finish()
@@ -157,12 +159,12 @@
             is Write.DeleteRound -> planJournal.deleted(write.key)
             is Write.FinishJob -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
-                log("${write.job.id}: cancelled with a predecessor")
-                ended(write.job.id, nowMs)
+                log("${write.job.id}: cancelled because a predecessor was cancelled")
+                onJobEnded(write.job.id, nowMs)
             }
             is Write.DeleteJobRecord -> {
                 log("${write.job.id}: record deleted")
-                ended(write.job.id, nowMs)
+                onJobEnded(write.job.id, nowMs)
             }
             is Write.WriteIntent -> {
                 fleet.wantedIntents.remove(write.intent)
@@ -172,7 +174,7 @@
             is Write.FenceZone -> zoneFencing.written(write.record)
             is Write.LiftZoneFence -> zoneFencing.deleted(write.key)
             is Write.DeleteIntent -> fleet.completedIntents.remove(write.idempotencyKey)
-            Write.RaiseTerm -> raised(revision, nowMs)
+            Write.RaiseTerm -> termRaised(revision, nowMs)
         }
     }
 
@@ -188,18 +190,18 @@
             "${job.id} (${job.spec.jobClass}, ${job.spec.tasks} tasks): done, $placementS s until its last task was placed, " +
                 "$imageS s until that task ran, $runS s to its end",
         )
-        ended(job.id, nowMs)
+        onJobEnded(job.id, nowMs)
     }
 
     private fun seconds(ms: Long) = "%.1f".format(ms / TimeUnits.MS_PER_SECOND.toDouble())
 
-    /** A write without an answer may still be carried out: the term must rise, so that its precondition fails. */
+    /** Requests a higher term, so that the precondition of an unanswered write fails if the write is still carried out later. */
     fun fenceLateWrites() {
         raiseNow = true
     }
 
-    /** The leader key was rewritten: starts under lower terms are void wherever the new [term] has been seen. */
-    fun raised(
+    /** Adopts [term] after the leader key was rewritten. Workers that have seen it reject starts under lower terms. */
+    fun termRaised(
         term: Long,
         nowMs: Long,
     ) {
@@ -210,13 +212,13 @@
     }
 
     private companion object {
-        /** Writes that a final state takes: itself, and the deletion of the job's record. */
+        /** Writes for a final state: the state itself and the deletion of the job's record. */
         const val FINISH_COST = 2
 
-        /** Round records whose deletion may wait while users wait; a successor has to read them all. */
+        /** Maximum number of obsolete round records kept while users wait for writes. A new leader has to read them all. */
         const val MAX_OBSOLETE_ROUNDS = 300
 
-        /** Writes of a transaction that are not used for deleting round records, as something urgent may come at any moment. */
+        /** Writes of a transaction reserved for urgent changes, which may arise at any moment, and not used for deleting round records. */
         const val GC_RESERVE = 6
     }
 }
--- a/src/main/kotlin/mintfield/core/ConnectionLimits.kt
+++ b/src/main/kotlin/mintfield/core/ConnectionLimits.kt
@@ -5,29 +5,29 @@
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.model.Settings
 
-/** How many connections of each kind a controller keeps or opens at once: each kind has its part of the sockets that it may have. */
+/** Limits on a controller's concurrent connections of each kind, each a share of its permitted sockets. */
 class ConnectionLimits(
     settings: Settings,
 ) {
-    /** Connections of users and workers. */
+    /** Maximum number of incoming connections from users and workers. */
     val incoming: Int = (settings.maxSockets * HttpConstants.INCOMING_SOCKET_FRACTION).toInt()
 
-    /** With this many connections of users and workers or more, a worker's is closed after each answer. */
-    val shortConnectionsFrom: Int = (incoming * HttpConstants.KEEP_ALIVE_FRACTION).toInt()
+    /** Number of incoming connections from which worker connections are closed after each response. */
+    val keepAliveLimit: Int = (incoming * HttpConstants.KEEP_ALIVE_FRACTION).toInt()
 
-    /** Idle connections to workers that are kept. */
-    val keptToWorkers: Int = (settings.maxSockets * WorkerConstants.WORKER_POOL_SOCKET_FRACTION).toInt()
+    /** Maximum number of idle connections to workers kept in the pool. */
+    val pooledWorkerConnections: Int = (settings.maxSockets * WorkerConstants.WORKER_POOL_SOCKET_FRACTION).toInt()
 
-    /** Direct commands under way at once. */
+    /** Maximum number of concurrent direct commands to workers. */
     val directCalls: Int = maxOf(WorkerConstants.MIN_DIRECT_COMMANDS, (settings.maxSockets * WorkerConstants.DIRECT_COMMAND_SOCKET_FRACTION).toInt())
 
-    /** Heartbeats and user requests that are relayed to one peer at once. */
-    val relayLanes: Int = maxOf(PeerConstants.MIN_CONCURRENT_RELAYS, (settings.maxSockets * PeerConstants.CONCURRENT_RELAYS_PER_SOCKET).toInt())
+    /** Maximum number of heartbeats and user requests relayed to one peer at once. */
+    val maxConcurrentRelays: Int = maxOf(PeerConstants.MIN_CONCURRENT_RELAYS, (settings.maxSockets * PeerConstants.CONCURRENT_RELAYS_PER_SOCKET).toInt())
 
-    /** Connections of peers. */
-    val fromPeers: Int =
-        maxOf(PeerConstants.MIN_PEER_CONNECTIONS, settings.peers.size * (relayLanes + PeerConstants.PEER_SPARE_CONNECTIONS))
+    /** Maximum number of incoming connections from peers. */
+    val peerConnections: Int =
+        maxOf(PeerConstants.MIN_PEER_CONNECTIONS, settings.peers.size * (maxConcurrentRelays + PeerConstants.PEER_SPARE_CONNECTIONS))
 
-    /** Machines whose workers can keep their connection here, besides [otherConnections]; the others connect for each heartbeat. */
-    fun machinesKept(otherConnections: Int): Int = maxOf(0, shortConnectionsFrom - otherConnections)
+    /** Maximum number of workers that can keep a connection open besides [otherConnections]. Further workers reconnect for each heartbeat. */
+    fun maxKeepAliveMachines(otherConnections: Int): Int = maxOf(0, keepAliveLimit - otherConnections)
 }
--- a/src/main/kotlin/mintfield/core/DirectCall.kt
+++ b/src/main/kotlin/mintfield/core/DirectCall.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.model.WorkerCommand
 
-/** Commands to be sent straight to a worker at [address], under the fencing token [term] and for its [incarnation] only. */
+/** Commands sent directly to the worker at [address], with the fencing token [term]. They are valid only for its [incarnation]. */
 class DirectCall(
     val machine: String,
     val address: String,
--- a/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
+++ b/src/main/kotlin/mintfield/core/FleetCapacityCheck.kt
@@ -4,24 +4,24 @@
 import mintfield.core.model.Settings
 
 /**
- * Checks whether a controller's sockets and memory suffice for the fleet that its operators expect. It is made at the start, when the
- * settings can still be changed, and each finding names its remedy or its consequence.
+ * Checks whether a controller's sockets and memory suffice for the fleet size that its operators expect. It runs at startup, when the
+ * settings can still be changed. Each message names the remedy or the consequence.
  */
 class FleetCapacityCheck(
     private val settings: Settings,
 ) {
     private val limits = ConnectionLimits(settings)
 
-    /** One line for each resource that is short, with a heap of [heapBytes]; none if the settings do not tell the size of the fleet. */
-    fun shortcomings(heapBytes: Long): List<String> {
+    /** Returns a message for each insufficient resource, given a heap of [heapBytes]. Empty if the settings do not state the fleet size. */
+    fun shortages(heapBytes: Long): List<String> {
         val machines = settings.operator.fleetMachines ?: return emptyList()
         return listOfNotNull(sockets(machines), memory(machines, heapBytes))
     }
 
     private fun sockets(machines: Int): String? {
-        val kept = limits.machinesKept(otherConnections = 0)
+        val kept = limits.maxKeepAliveMachines(otherConnections = 0)
         if (machines <= kept) return null
-        return "max_sockets ${settings.maxSockets} lets $kept workers keep their connections of $machines: the others connect anew for each heartbeat"
+        return "max_sockets ${settings.maxSockets} allows persistent connections for $kept of $machines workers: the others reconnect for each heartbeat"
     }
 
     private fun memory(
--- a/src/main/kotlin/mintfield/core/HeartbeatService.kt
+++ b/src/main/kotlin/mintfield/core/HeartbeatService.kt
@@ -13,8 +13,8 @@
 import mintfield.core.model.WorkerCommand
 
 /**
- * Decides how a worker's heartbeat is answered: whether this leader may answer it at all (ownership, fencing token, zone fence,
- * lease renewal limit), and with which commands.
+ * Decides the response to a worker's heartbeat: whether this leader may respond with commands (ownership, fencing token, zone
+ * fence, lease renewal limit), and with which.
  */
 internal class HeartbeatService(
     private val cluster: Cluster,
@@ -28,19 +28,19 @@
     private val ownership = cluster.ownership
     private val leaseRenewalLimit = LeaseRenewalLimit(cluster.settings)
 
-    /** Machines whose leases were renewed before the replay, and when the latest of them came for the first time. */
+    /** Machines whose leases were renewed before the end of the replay. [lastFirstHeartbeatAtMs] is the time of the last new entry. */
     private val renewedDuringReplay = HashSet<String>()
     private var lastFirstHeartbeatAtMs = Machine.NEVER
 
-    /** Whether workers have recently sent their first heartbeat since the election. Their leases must not expire because of the replay. */
+    /** Whether a worker has recently sent its first heartbeat since the election. The replay must not delay such heartbeats until leases expire. */
     fun receivesFirstHeartbeats(nowMs: Long): Boolean = nowMs - lastFirstHeartbeatAtMs < LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS
 
     /**
-     * Takes [heartbeat] in and answers it. With [mayAct] false the leader's lease may have expired: the answer then renews the
-     * worker's lease, if that is safe, but starts nothing. All cancellations that users were told of before [cancellationsToMs]
-     * are known here.
+     * Applies [heartbeat] to the leader's state and returns the response. If [mayAct] is false, the leader's lease may have
+     * expired: the response then renews the worker's lease, if that is safe, but starts nothing. This leader knows all cancellations
+     * confirmed to users before [cancellationsToMs].
      */
-    fun answer(
+    fun respond(
         heartbeat: Heartbeat,
         mayAct: Boolean,
         nowMs: Long,
@@ -52,14 +52,14 @@
         if (heartbeat.termSeen > token(heartbeat)) return HeartbeatResponse.Deposed
         if (!zoneFencing.mayAnswer(heartbeat.machine)) return HeartbeatResponse.ZoneFenced
         val mayRenew = leaseRenewalLimit.allows(nowMs - cancellationsToMs)
-        if (!replay.isComplete) return answerDuringReplay(heartbeat, mayRenew, nowMs)
+        if (!replay.isComplete) return respondDuringReplay(heartbeat, mayRenew, nowMs)
         val machine = knownMachine(heartbeat, nowMs) ?: return if (mayRenew) stopsOnly(heartbeat) else HeartbeatResponse.RenewalRefused
         machine.directRoute.heartbeatCame(relayed, viaRelayPeer)
         recordBootTime(machine, heartbeat, nowMs)
-        return answer(machine, heartbeat, mayAct, mayRenew, nowMs)
+        return respond(machine, heartbeat, mayAct, mayRenew, nowMs)
     }
 
-    private fun answerDuringReplay(
+    private fun respondDuringReplay(
         heartbeat: Heartbeat,
         mayRenew: Boolean,
         nowMs: Long,
@@ -70,7 +70,7 @@
         return stopsOnly(heartbeat)
     }
 
-    private fun answer(
+    private fun respond(
         machine: Machine,
         heartbeat: Heartbeat,
         mayAct: Boolean,
@@ -85,8 +85,8 @@
     }
 
     /**
-     * An answer that renews the lease and stops only tasks of cancelled jobs. A cancellation is final, so such a stop is correct
-     * whoever leads and whenever it arrives: a leader whose lease has expired may send it as well.
+     * Returns a response that renews the lease and whose only commands stop tasks of cancelled jobs. Cancellation is final, so these
+     * stops are correct at any time and from any leader, even one whose lease has expired.
      */
     private fun stopsOnly(heartbeat: Heartbeat): HeartbeatResponse =
         HeartbeatResponse.Commands(
@@ -96,7 +96,7 @@
                 .map { WorkerCommand.Stop(it.task, it.attempt, 0.0) },
         )
 
-    /** The fencing token of answers to [heartbeat]: the leader's term, or the machine's ownership epoch if that is higher. */
+    /** The fencing token of responses to [heartbeat]: the leader's term, or the machine's ownership epoch if that is higher. */
     private fun token(heartbeat: Heartbeat): Long = maxOf(cluster.term, ownership.epoch(heartbeat.machine))
 
     private fun knownMachine(
--- a/src/main/kotlin/mintfield/core/JobLifecycle.kt
+++ b/src/main/kotlin/mintfield/core/JobLifecycle.kt
@@ -5,7 +5,7 @@
 import mintfield.core.jobs.PlanJournal
 import mintfield.core.model.AcceptedJob
 
-/** Takes over what the store and the peers tell of jobs: accepted, ready, cancelled, gone. The leader's view of its jobs. */
+/** Applies job events from the store and from peers to the leader's state: accepted, ready, cancelled and removed jobs. */
 internal class JobLifecycle(
     private val cluster: Cluster,
     private val dependencies: DependencyGraph,
@@ -14,7 +14,7 @@
     private val replay: LeaderReplay,
     private val log: (String) -> Unit,
 ) {
-    /** A job was accepted or its record has changed. Records that are no newer than the known one have no effect. */
+    /** Adds or updates an accepted job from its record. Records that are not newer than the known one have no effect. */
     fun changed(
         accepted: AcceptedJob,
         nowMs: Long,
@@ -42,7 +42,7 @@
         }
     }
 
-    /** All predecessors of the job [id] are recorded as done: it may start. */
+    /** Makes job [id] schedulable, after all its predecessors have been recorded as done. */
     fun becameReady(
         id: String,
         nowMs: Long,
@@ -50,16 +50,16 @@
         val job = cluster.jobs[id] ?: return
         job.becomeReady(dependencies.readySinceMs(id))
         job.firstSeenAtMs = nowMs
-        cluster.roundWanted = true
+        cluster.roundRequested = true
         log("$id: ready, all its predecessors are done")
     }
 
-    /** A predecessor of the job [id] is cancelled: it has to be cancelled as well. */
+    /** Marks job [id] for cancellation, because a predecessor was cancelled. */
     fun dependencyCancelled(id: String) {
         cluster.jobs[id]?.let(cluster.cancelledByDependency::add)
     }
 
-    /** The record of the job [id] is gone from the store: the job has ended, or its record was garbage-collected. */
+    /** Removes job [id], whose record was removed from the store: the job has ended, or its record was garbage-collected. */
     fun removed(
         id: String,
         nowMs: Long,
@@ -68,12 +68,12 @@
         cluster.unprovenJobs.remove(job)
         cluster.cancelledByDependency.remove(job)
         planJournal.jobRemoved(job)
-        // Jobs without tasks are not logged: after a failover most of them may be gone at once.
-        if (job.activeAttempts.isNotEmpty()) log("$id: gone from the store, ${job.activeAttempts.size} tasks are left to their workers' heartbeats")
-        for (attempt in job.activeAttempts.toList()) cluster.release(attempt, nowMs, Cluster.DESCRIBED_ANEW)
+        // Jobs without active attempts are not logged: after a failover many of them may be removed at once.
+        if (job.activeAttempts.isNotEmpty()) log("$id: record removed from the store, ${job.activeAttempts.size} tasks to be reconciled by heartbeats")
+        for (attempt in job.activeAttempts.toList()) cluster.release(attempt, nowMs, Cluster.SUPERSEDED)
     }
 
-    /** A peer has confirmed to a user that [id] is cancelled: its tasks stop now, whether or not this leader can read the record. */
+    /** Cancels job [id], whose cancellation a peer has confirmed to the user. Its tasks stop even if this leader cannot read the job's record. */
     fun cancellationConfirmedByPeer(
         id: String,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/KnownCancellations.kt
+++ b/src/main/kotlin/mintfield/core/KnownCancellations.kt
@@ -1,25 +1,25 @@
 package mintfield.core
 
 /**
- * All cancellations that this leader knows of, from whichever source: its own jobs, the job records, and what peers confirmed
- * before the replay. A worker's lease is renewed on the strength of it, so it must not forget any.
+ * All cancellations known to this leader: from its own jobs, the job records, and the confirmations of peers before the end of the
+ * replay. Lease renewals depend on it, so no cancellation may be dropped.
  */
 internal class KnownCancellations(
     private val cluster: Cluster,
-    /** Whether the job record shows a cancellation, also of a job that the replay has not reached yet. */
+    /** Whether the job record shows a cancellation. Also covers jobs that have not been replayed yet. */
     private val isRecorded: (String) -> Boolean,
 ) {
-    /** Confirmed by peers before the replay. The store may become unreachable before the job records show them. */
+    /** Jobs whose cancellation peers confirmed before the end of the replay. The store may become unreachable before the job records show it. */
     private val confirmedBeforeReplay = HashSet<String>()
 
-    /** Whether any source shows that [job] is cancelled, also if another shard schedules it. */
+    /** Whether any source shows that [job] is cancelled. Also covers jobs of other shards. */
     fun isKnown(job: String): Boolean = cluster.jobs[job]?.cancelled == true || job in confirmedBeforeReplay || isRecorded(job)
 
-    /** A peer confirmed the cancellation of [job] to its user, before the replay of this leader has ended. */
+    /** Records that a peer confirmed the cancellation of [job] to its user before this leader's replay ended. */
     fun confirmedBeforeReplay(job: String) {
         confirmedBeforeReplay.add(job)
     }
 
-    /** Marks the replayed jobs whose cancellation peers confirmed before the end of the replay. */
+    /** Cancels the replayed jobs whose cancellation peers confirmed before the end of the replay. */
     fun applyToReplayedJobs() = confirmedBeforeReplay.forEach { cluster.jobs[it]?.cancel() }
 }
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -8,8 +8,8 @@
 import mintfield.core.jobs.RoundRecord
 
 /**
- * Restores a new leader's state from the records of its predecessors. The records are handed in one at a time, the rounds in the
- * order of their revisions and after the jobs, and [complete] ends it: until then the leader plans and sends nothing.
+ * Restores a new leader's state from the records of earlier leaders. The caller passes the records one at a time, jobs first, then
+ * rounds in the order of their revisions, and finally calls [complete]. Until then the leader neither plans nor sends starts.
  */
 class LeaderReplay internal constructor(
     private val cluster: Cluster,
@@ -19,16 +19,16 @@
     private val failureAttribution: FailureAttribution,
     private val cancellations: KnownCancellations,
 ) {
-    /** Whether all records have been handed in. Before that, heartbeats are answered with the fencing token only. */
+    /** Whether the replay has ended. Before that, responses to heartbeats start no tasks. */
     var isComplete = false
         private set
 
-    /** A predecessor's intent to scale out: the provisioning request is sent again with the same idempotency key. */
+    /** Restores an earlier leader's scale-out intent. Its provisioning request is sent again with the same idempotency key. */
     fun intent(intent: ScaleOutIntent) {
         fleet.intents[intent.idempotencyKey] = intent
     }
 
-    /** The [record] of a scheduling round, which was written under [key] at [revision]. With [keep] it is never deleted. */
+    /** Replays the [record] of a scheduling round, written under [key] at [revision]. With [keep] the record is never deleted. */
     fun round(
         key: String,
         record: RoundRecord,
@@ -38,19 +38,19 @@
     ) = planJournal.replay(key, record, revision, nowMs, keep)
 
     /**
-     * A round record of which not even the jobs can be read. Tasks that it planned may run unknown to this leader, until their
-     * workers have sent a heartbeat or lost their leases. Nothing is planned before.
+     * Handles a round record that cannot be read at all, not even the ids of its jobs. Its tasks may run unknown to this leader, so
+     * planning is suspended until their workers must have sent a heartbeat or lost their leases.
      */
     fun unreadableRound(nowMs: Long) {
-        cluster.holdUntilMs = nowMs + cluster.timings.leaseExpiryMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS
+        cluster.planningSuspendedUntilMs = nowMs + cluster.timings.leaseExpiryMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS
     }
 
-    /** A round record whose part about [jobId] cannot be read: the job keeps the tasks that it has and gets no new ones. */
+    /** Handles a round record whose part on job [jobId] cannot be read: the job keeps its running tasks and gets no new ones. */
     fun unreadableJob(jobId: String) {
         cluster.jobs[jobId]?.unreadable = true
     }
 
-    /** Restores the estimates of a predecessor; jobs and machines that are not known here are left out. */
+    /** Restores the learned estimates of an earlier leader. Entries of unknown jobs and machines are ignored. */
     fun restore(learnedState: LearnedState) {
         cluster.runTimes.restore(learnedState.logRatio)
         for ((id, probes) in learnedState.suspectJobs) cluster.jobs[id]?.let { failureAttribution.restore(it, probes) }
@@ -60,12 +60,12 @@
         }
     }
 
-    /** Ends the replay: all records have been handed in, and the leader plans from now on. */
+    /** Ends the replay. From now on the leader plans and sends commands. */
     fun complete(nowMs: Long) {
         isComplete = true
         zoneFencing.read = true
         cluster.replayedAtMs = nowMs
-        // What was replayed is written already.
+        // The replayed state is already in the store.
         for (job in cluster.jobs.values) {
             job.unwritten.clear()
         }
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -5,8 +5,8 @@
 import mintfield.core.jobs.JobHealth
 
 /**
- * Decides when learned estimates are saved, and in how many values of the state service. A large fleet's take several blocks; one is
- * written at a time, so that they need no more of the permitted writes at once than a small fleet's.
+ * Schedules the writes of learned estimates and divides them into blocks, one value of the state service each. Blocks are written one
+ * at a time, so that a large fleet uses no more of the write limit at once than a small one.
  */
 class LearnedStateBlocks(
     private val cluster: Cluster,
@@ -15,12 +15,12 @@
     private var next = 0
     private var lastWriteMs = Machine.NEVER
 
-    /** The write that is due now; null if none is. Each call that returns one moves on to the next block. */
+    /** Returns the write that is due now, or null if none is, and advances to the next block. */
     fun due(nowMs: Long): Write.SaveLearnedState? {
         if (nowMs - lastWriteMs < intervalMs()) return null
         lastWriteMs = nowMs
         if (next >= blocks.size) {
-            blocks = pack(current(), (cluster.limits.valueKb * VALUE_BYTES_USED).toInt())
+            blocks = pack(current(), (cluster.limits.valueKb * MACHINE_BYTES_PER_KIB).toInt())
             next = 0
         }
         val block = next++
@@ -41,18 +41,18 @@
         return LearnedState(imageGb, machineImages, cluster.runTimes.ratios.toMap(), suspectJobs)
     }
 
-    /** How learned estimates are divided into blocks. */
+    /** Division of learned estimates into blocks. */
     companion object {
-        /** Bytes of a value of one KiB that machines may take. */
-        private const val VALUE_BYTES_USED = 850
+        /** Bytes used for machines per KiB of a value's maximum size. */
+        private const val MACHINE_BYTES_PER_KIB = 850
 
-        /** Bytes round a name: quotes, comma, brackets. */
-        private const val NAME_FRAME = 4
+        /** Bytes of quotes, comma and brackets around a name. */
+        private const val NAME_OVERHEAD_BYTES = 4
 
-        /** Bytes of an image's size, with the frame of its name. */
-        private const val SIZE_BYTES = 12
+        /** Bytes of an image's size, including the overhead of the image's name as its key. */
+        private const val IMAGE_SIZE_BYTES = 12
 
-        /** Divides [learnedState] so that the machines of each block take [maxBytes] at the most. What concerns no machine is in the first. */
+        /** Divides [learnedState] into blocks with at most [maxBytes] for machines each. The first block also holds everything unrelated to machines. */
         fun pack(
             learnedState: LearnedState,
             maxBytes: Int,
@@ -82,12 +82,13 @@
             return groups
         }
 
-        /** Bytes that [machine] takes in a block which already contains the sizes of the images [alreadyIn]. */
+        /** Bytes that [machine] adds to a block which already contains the sizes of the images [alreadyIn]. */
         private fun sizeOf(
             machine: String,
             images: List<String>,
             alreadyIn: Set<String>,
-        ): Int = machine.length + NAME_FRAME + images.sumOf { it.length + NAME_FRAME + if (it in alreadyIn) 0 else it.length + SIZE_BYTES }
+        ): Int =
+            machine.length + NAME_OVERHEAD_BYTES + images.sumOf { it.length + NAME_OVERHEAD_BYTES + if (it in alreadyIn) 0 else it.length + IMAGE_SIZE_BYTES }
 
         private fun block(
             learnedState: LearnedState,
--- a/src/main/kotlin/mintfield/core/RoundTrigger.kt
+++ b/src/main/kotlin/mintfield/core/RoundTrigger.kt
@@ -7,7 +7,7 @@
 import mintfield.core.model.Shape
 import mintfield.core.placement.SchedulingRound
 
-/** Runs scheduling rounds when they are due: of all jobs at intervals or when one is wanted, and of replicas alone in between. */
+/** Runs scheduling rounds when they are due: for all jobs at intervals or on request, and for service replicas alone in between. */
 internal class RoundTrigger(
     private val cluster: Cluster,
     private val failureAttribution: FailureAttribution,
@@ -18,7 +18,7 @@
     private var lastRoundMs = Machine.NEVER
     private var lastReplicaRoundMs = Machine.NEVER
 
-    /** Runs a round if one is due. With [scarce], few writes are permitted now, and rounds come less often. */
+    /** Runs a round if one is due. With [scarce] few writes are permitted at present, and rounds are less frequent. */
     fun runIfDue(
         nowMs: Long,
         wallMs: Long,
@@ -26,10 +26,10 @@
     ) {
         val maxTasks = cluster.roundTasks()
         val intervalMs = if (scarce) PlacementConstants.ROUND_INTERVAL_SCARCE_WRITES_MS else PlacementConstants.ROUND_INTERVAL_MS
-        if (cluster.roundWanted || nowMs - lastRoundMs >= intervalMs) {
+        if (cluster.roundRequested || nowMs - lastRoundMs >= intervalMs) {
             lastRoundMs = nowMs
             lastReplicaRoundMs = nowMs
-            cluster.roundWanted = false
+            cluster.roundRequested = false
             inheritedUrgency.refresh(nowMs, wallMs)
             failureAttribution.checkUnprovenJobs(nowMs)
             round.run(nowMs, wallMs, maxTasks)
@@ -37,7 +37,7 @@
         }
         if (nowMs - lastReplicaRoundMs < PlacementConstants.REPLICA_ROUND_INTERVAL_MS || !hasWaitingReplicas(nowMs)) return
         val planned = round.run(nowMs, wallMs, maxTasks, replicasOnly = true)
-        // What finds no room now will hardly find any before the next round of all jobs.
+        // Replicas that fit on no machine now are unlikely to fit before the next round for all jobs.
         lastReplicaRoundMs = if (planned > 0) nowMs else nowMs + PlacementConstants.ROUND_INTERVAL_MS
     }
 
--- a/src/main/kotlin/mintfield/core/ScaleOutIntent.kt
+++ b/src/main/kotlin/mintfield/core/ScaleOutIntent.kt
@@ -1,8 +1,8 @@
 package mintfield.core
 
 /**
- * The leader's decision to provision [number] instances of a machine type in a zone. It is recorded before the request is sent, and a
- * successor repeats the request with the same [idempotencyKey], which the cloud carries out once.
+ * The leader's decision to provision [number] instances of a machine type in a zone. It is recorded before the request is sent. A new
+ * leader repeats the request with the same [idempotencyKey], and the cloud carries it out only once.
  */
 data class ScaleOutIntent(
     val idempotencyKey: String,
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -19,17 +19,17 @@
 import mintfield.core.ownership.WholeFleet
 
 /**
- * The decisions of one leader, from its election to the end of its lease: the entry to the pure core. It wires the components that
- * decide, and passes each event to the one that it concerns.
+ * The scheduler of one leader, from its election to the end of its lease. It creates the components of the core and passes each event
+ * to the component responsible for it.
  *
- * It does no input or output. It is given events and the time, and asked what to write, to send and to call. What it returns may
- * be carried out only while the leader holds its lease. All functions are called from one thread; `nowMs` is the time of a steady
- * clock in milliseconds, `wallMs` the time of day.
+ * It performs no I/O. Callers pass in events and the time, and ask for the next transaction, direct commands and cloud requests. The
+ * returned actions may be carried out only while the leader holds its lease. Not thread-safe: all functions are called from one
+ * thread. `nowMs` is the time of a steady clock in milliseconds, `wallMs` the wall-clock time.
  */
 class Scheduler(
     settings: Settings,
     term: Long,
-    /** Whether the job record shows a cancellation, also of a job that the replay has not reached yet. */
+    /** Whether the job record shows a cancellation. Also covers jobs that have not been replayed yet. */
     isRecordedAsCancelled: (String) -> Boolean = { false },
     ownership: Ownership = WholeFleet,
     dependencies: DependencyGraph = DependencyGraph { null },
@@ -44,7 +44,7 @@
     private val commandPlanner = CommandPlanner(cluster, cancellations::isKnown)
     private val planJournal = PlanJournal(cluster, fleet)
 
-    /** Restores what earlier leaders have recorded. */
+    /** Restores the state from the records of earlier leaders. */
     val replay = LeaderReplay(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, cancellations)
     private val jobs = JobLifecycle(cluster, dependencies, planJournal, cancellations, replay, log)
     internal val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, commandPlanner, cancellations, replay)
@@ -52,33 +52,33 @@
     private val commits =
         CommitPlanner(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, InheritedUrgency(cluster, dependencies), jobs::removed, log)
 
-    /** Whether the replay has ended. Before that nothing is planned, and heartbeats are answered with the fencing token only. */
+    /** Whether the replay has ended. Before that nothing is planned, and responses to heartbeats start no tasks. */
     val loaded: Boolean get() = replay.isComplete
 
     // ---- jobs ----
 
-    /** A job was accepted or its record has changed. Records that are no newer than the known one have no effect. */
+    /** Adds or updates an accepted job from its record. Records that are not newer than the known one have no effect. */
     fun jobChanged(
         accepted: AcceptedJob,
         nowMs: Long,
     ) = jobs.changed(accepted, nowMs)
 
-    /** All predecessors of the job [id] are recorded as done: it may start. */
+    /** Makes job [id] schedulable, after all its predecessors have been recorded as done. */
     fun becameReady(
         id: String,
         nowMs: Long,
     ) = jobs.becameReady(id, nowMs)
 
-    /** A predecessor of the job [id] is cancelled: it has to be cancelled as well. */
+    /** Marks job [id] for cancellation, because a predecessor was cancelled. */
     fun dependencyCancelled(id: String) = jobs.dependencyCancelled(id)
 
-    /** The record of the job [id] is gone from the store: the job has ended, or its record was garbage-collected. */
+    /** Removes job [id], whose record was removed from the store: the job has ended, or its record was garbage-collected. */
     fun jobRemoved(
         id: String,
         nowMs: Long,
     ) = jobs.removed(id, nowMs)
 
-    /** A peer has confirmed to a user that [id] is cancelled: its tasks stop now, whether or not this leader can read the record. */
+    /** Cancels job [id], whose cancellation a peer has confirmed to the user. Its tasks stop even if this leader cannot read the job's record. */
     fun cancellationConfirmedByPeer(
         id: String,
         nowMs: Long,
@@ -87,9 +87,9 @@
     // ---- workers ----
 
     /**
-     * Takes in a worker's [heartbeat] and decides how to answer it. [mayAct] says whether the leader still holds its lease;
-     * [relayed] that the heartbeat came by way of a peer, and [viaRelayPeer] that workers are sent to a peer at the moment. All
-     * cancellations that users were told of before [cancellationsToMs] are known here.
+     * Applies a worker's [heartbeat] to the leader's state and returns the response. [mayAct] states whether the leader still holds
+     * its lease, [relayed] whether a peer relayed the heartbeat, and [viaRelayPeer] whether workers are currently redirected to a relay
+     * peer. This leader knows all cancellations confirmed to users before [cancellationsToMs].
      */
     fun heartbeat(
         heartbeat: Heartbeat,
@@ -98,23 +98,23 @@
         relayed: Boolean = false,
         viaRelayPeer: Boolean = false,
         cancellationsToMs: Long = nowMs,
-    ): HeartbeatResponse = heartbeats.answer(heartbeat, mayAct, nowMs, relayed, viaRelayPeer, cancellationsToMs)
+    ): HeartbeatResponse = heartbeats.respond(heartbeat, mayAct, nowMs, relayed, viaRelayPeer, cancellationsToMs)
 
-    /** Commands that are to be sent straight to workers now, for [most] workers at the most. Each call has to be answered or given up. */
+    /** Returns commands to be sent directly to at most [maxCalls] workers. Each call must be concluded by [directCallResponded] or [directCallUnanswered]. */
     fun directCalls(
         nowMs: Long,
-        most: Int,
-    ): List<DirectCall> = if (loaded) directCommands.calls(nowMs, most) else emptyList()
+        maxCalls: Int,
+    ): List<DirectCall> = if (loaded) directCommands.calls(nowMs, maxCalls) else emptyList()
 
-    /** The worker has answered [call] with its status in [heartbeat]; null if the answer could not be read. */
-    fun directAnswered(
+    /** Applies the response to [call]: the worker's status in [heartbeat], or null if the response could not be read. */
+    fun directCallResponded(
         call: DirectCall,
         heartbeat: Heartbeat?,
         nowMs: Long,
     ) = directCommands.answered(call, heartbeat, nowMs)
 
-    /** There was no answer to [call]. Unless it was never [sent], it may still be executed late. */
-    fun directUnanswered(
+    /** Records that [call] got no response. If it was [sent], the worker may still execute it later. */
+    fun directCallUnanswered(
         call: DirectCall,
         sent: Boolean,
         nowMs: Long,
@@ -123,8 +123,8 @@
     // ---- the store ----
 
     /**
-     * The next transaction, of [ops] writes at the most; null if there is nothing to write. With [yielding] users wait for writes
-     * of their own, and garbage collection is put off.
+     * Returns the next transaction, of at most [ops] writes, or null if there is nothing to write. [yielding] is true while users
+     * wait for writes of their own, and defers garbage collection.
      */
     fun nextCommit(
         nowMs: Long,
@@ -133,55 +133,55 @@
         yielding: Boolean = false,
     ): Commit? = if (loaded && ops > 0) commits.next(nowMs, wallMs, ops, yielding) else null
 
-    /** What became of [commit]. */
+    /** Applies the outcome of [commit] to the leader's state. */
     fun committed(
         commit: Commit,
         result: CommitResult,
         nowMs: Long,
     ) = commits.committed(commit, result, nowMs)
 
-    /** The [writes] of a commit found no room in its transaction. To be called before it is sent: they are planned again. */
+    /** Plans [writes] of a commit again that did not fit into its transaction. Must be called before the transaction is sent. */
     fun deferred(
         writes: List<Write>,
         nowMs: Long,
     ) = planJournal.putBack(writes, nowMs)
 
-    /** A write without an answer may still be carried out: the term must rise, so that its precondition fails. */
+    /** Requests a higher term, so that the precondition of an unanswered write fails if the write is still carried out later. */
     fun fenceLateWrites() = commits.fenceLateWrites()
 
-    /** The leader key was rewritten: starts under lower terms are void wherever the new [term] has been seen. */
-    fun raised(
+    /** Adopts [term] after the leader key was rewritten. Workers that have seen it reject starts under lower terms. */
+    fun termRaised(
         term: Long,
         nowMs: Long,
-    ) = commits.raised(term, nowMs)
+    ) = commits.termRaised(term, nowMs)
 
     // ---- the cloud ----
 
-    /** The machine types that the cloud offers. */
+    /** Replaces the machine types by [types], as read from the cloud. */
     fun types(
         types: List<MachineType>,
         nowMs: Long,
     ) = fleet.typesRead(types, nowMs)
 
-    /** One [page] of the cloud's machine list; [hasNext] if it is not the last one. */
+    /** Processes one [page] of the cloud's machine list. [hasNext] is false for the last page. */
     fun listed(
         page: List<ListedMachine>,
         hasNext: Boolean,
         nowMs: Long,
     ) = fleet.listed(page, hasNext, nowMs)
 
-    /** The next request to the cloud; null if there is none at the moment. */
+    /** Returns the next request to the cloud, or null if there is none. */
     fun cloudCall(nowMs: Long): CloudCall? = if (loaded) fleet.nextCall(nowMs) else null
 
     // ---- time ----
 
-    /** Lets deadlines pass and sizes the fleet. To be called every [PlacementConstants.TICK_INTERVAL_MS] or so. */
+    /** Processes expired deadlines and sizes the fleet. Must be called about every [PlacementConstants.TICK_INTERVAL_MS]. */
     fun tick(nowMs: Long) {
         if (!loaded) return
         fleet.tick(nowMs)
         fleet.size(nowMs)
     }
 
-    /** One line for the log on what the leader schedules. */
+    /** The leader's periodic log line with the counts of jobs, attempts and machines. */
     fun summary(nowMs: Long): String = clusterSummary(cluster, fleet, nowMs)
 }
--- a/src/main/kotlin/mintfield/core/TeamQuotas.kt
+++ b/src/main/kotlin/mintfield/core/TeamQuotas.kt
@@ -5,11 +5,11 @@
 import mintfield.core.model.Team
 import kotlin.math.floor
 
-/** The teams with their quotas, and how much their tasks occupy now. */
+/** The teams with their quotas and the current usage of each. */
 class TeamQuotas(
     settings: Settings,
 ) {
-    /** What the tasks of one team occupy on all machines. */
+    /** Resources occupied by the tasks of one team on all machines. */
     class Usage {
         var cpus = 0.0
             private set
@@ -30,13 +30,13 @@
     private val usageByTeam = HashMap<String, Usage>()
     private val teams = settings.teams.associateBy { it.name }
 
-    /** The team [name]; null if the settings do not have it. */
+    /** The team [name], or null if it is not in the settings. */
     fun team(name: String): Team? = teams[name]
 
-    /** What the tasks of [team] occupy now. */
+    /** Resources currently occupied by the tasks of [team]. */
     fun usage(team: String): Usage = usageByTeam.getOrPut(team) { Usage() }
 
-    /** How many further tasks of [spec] the ceiling of its team allows now; none if the team is unknown. */
+    /** Number of further tasks of [spec] that its team's quota currently allows; 0 if the team is unknown. */
     fun allowance(spec: JobSpec): Int {
         val team = teams[spec.team] ?: return 0
         val used = usage(spec.team)
@@ -52,7 +52,7 @@
     ): Int = maxOf(0, floor((free + ROUNDING_TOLERANCE) / each).toInt())
 
     private companion object {
-        /** Amounts are sums of decimal fractions; a difference this small is due to rounding. */
+        /** Largest difference attributed to rounding: amounts are sums of decimal fractions. */
         const val ROUNDING_TOLERANCE = 1e-6
     }
 }
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -9,8 +9,8 @@
 import mintfield.core.model.Settings
 
 /**
- * Times that follow from the heartbeat interval and the lease of the workers, which differ widely between sites: a constant that suits
- * one would take healthy machines for unresponsive, or release hanging ones too early, at another. All are in milliseconds.
+ * Times derived from the workers' heartbeat interval and lease, in milliseconds. Both settings differ widely between sites: with fixed
+ * times, healthy machines at some sites would count as unresponsive, or hanging ones would be released too early.
  */
 class Timings(
     settings: Settings,
@@ -20,33 +20,33 @@
     /** The longest time between two heartbeats of a healthy worker. */
     private val longestHeartbeatGapMs = settings.heartbeatIntervalS * TimeUnits.MS_PER_SECOND * WorkerConstants.HEARTBEAT_SPREAD
 
-    /** Without a heartbeat for this long a machine gets no new tasks. It is longer than the interval of a healthy worker with a heartbeat lost. */
+    /** Time without a heartbeat after which a machine gets no new tasks. It allows for the loss of one heartbeat of a healthy worker. */
     val heartbeatTimeoutMs = maxOf(WorkerConstants.MIN_HEARTBEAT_TIMEOUT_MS, (longestHeartbeatGapMs + WorkerConstants.HEARTBEAT_TIMEOUT_SLACK_MS).toLong())
 
-    /** A worker that sent a heartbeat directly within this time is told to do so again; others may be relayed. */
+    /** Time for which a direct heartbeat proves the direct route: a worker with a newer one keeps connecting directly, others may be relayed. */
     val relayAfterMs = maxOf(PeerConstants.MIN_DIRECT_ROUTE_FRESH_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
-    /** After a failover tasks wait this long for machines that hold their image: by then a healthy worker has sent a heartbeat. */
-    val settleMs = maxOf(PlacementConstants.MIN_SETTLE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
+    /** Time after a failover during which tasks wait for machines with their image cached. Every healthy worker sends a heartbeat within it. */
+    val failoverGraceMs = maxOf(PlacementConstants.MIN_SETTLE_MS, (longestHeartbeatGapMs + PeerConstants.DIRECT_ROUTE_SLACK_MS).toLong())
 
     /**
-     * A machine of a replayed plan that has sent no heartbeat is released after this time: its lease has expired, and it has had the
-     * time to find the leader.
+     * Time after which a machine of a replayed plan is released if it has sent no heartbeat: its lease has expired, and it has had
+     * enough time to find the leader.
      */
     val replayedReleaseMs = (leaseMs + FleetConstants.FIND_LEADER_MS).toLong()
 
-    /** The same for a machine that is not in the cloud's list either. */
+    /** Time after which a machine without a heartbeat is released if it is also missing from the cloud's machine list. */
     val unlistedReleaseMs = maxOf(FleetConstants.UNLISTED_RELEASE_MS, (longestHeartbeatGapMs + FleetConstants.UNLISTED_RELEASE_SLACK_MS).toLong())
 
-    /** Without a heartbeat for this long a machine is released: most that hang are back within their lease or soon after it. */
+    /** Time without a heartbeat after which a machine is released. Most hanging machines recover within their lease or soon after it. */
     val unresponsiveReleaseMs = settings.operator.unresponsiveReleaseMs ?: (leaseMs + FleetConstants.UNRESPONSIVE_RELEASE_SLACK_MS).toLong()
 
     /**
-     * The shortest time between two redirects of the same worker by an isolated leader: to try all controllers takes the worker a
-     * third to a half of its lease.
+     * Minimum time between two redirects of the same worker by an isolated leader. A worker needs a third to a half of its lease to
+     * try all controllers.
      */
     val redirectIntervalMs = (leaseMs * PeerConstants.REDIRECT_INTERVAL_LEASES).toLong()
 
-    /** Without an answered heartbeat for this long a worker's lease has certainly expired. */
+    /** Time after the last response to a heartbeat by which the worker's lease has certainly expired, including clock drift and a margin. */
     val leaseExpiryMs = (leaseMs * (1 + LeadershipConstants.MAX_CLOCK_DRIFT)).toLong() + WorkerConstants.WORKER_LEASE_MARGIN_MS
 }
--- a/src/main/kotlin/mintfield/core/Write.kt
+++ b/src/main/kotlin/mintfield/core/Write.kt
@@ -4,12 +4,12 @@
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.RoundRecord
 
-/** One change that the leader wants to make in the state service. */
+/** One change by the leader in the state service, part of a [Commit]. */
 sealed interface Write {
-    /** The jobs whose records must not have changed; that is a precondition of the write. */
+    /** Jobs whose records must be unchanged, as a precondition of the write. */
     val guardedJobs: Collection<Job> get() = emptyList()
 
-    /** The outcome of a scheduling round, and what heartbeats have shown since the one before, for all [jobs] concerned. */
+    /** Records the outcome of a scheduling round, and the results from heartbeats since the previous round, for all affected [jobs]. */
     data class RecordRound(
         val key: String,
         val record: RoundRecord,
@@ -18,33 +18,33 @@
         override val guardedJobs get() = jobs
     }
 
-    /** Deletes a round record that later ones cover in full. */
+    /** Deletes a round record that later records cover in full. */
     data class DeleteRound(
         val key: String,
     ) : Write
 
-    /** The job is done: its final state replaces its record. */
+    /** Replaces the record of a completed job by its final state. */
     data class FinishJob(
         val job: Job,
     ) : Write {
         override val guardedJobs get() = listOf(job)
     }
 
-    /** Cancels the job because a predecessor is cancelled. It has never started, so its final state replaces its record at once. */
+    /** Cancels a job because a predecessor was cancelled. The job has never started, so its final state replaces its record at once. */
     data class CancelSuccessor(
         val job: Job,
     ) : Write {
         override val guardedJobs get() = listOf(job)
     }
 
-    /** Deletes the record of a cancelled job of which no task is left on any machine. */
+    /** Deletes the record of a cancelled job that has no active attempts. */
     data class DeleteJobRecord(
         val job: Job,
     ) : Write {
         override val guardedJobs get() = listOf(job)
     }
 
-    /** Records a decision to scale out, before the cloud is asked. */
+    /** Records a decision to scale out, before the request is sent to the cloud. */
     data class WriteIntent(
         val intent: ScaleOutIntent,
     ) : Write
@@ -54,22 +54,22 @@
         val idempotencyKey: String,
     ) : Write
 
-    /** Saves the leader's learned estimates, or one [block] of them if they take several values. */
+    /** Saves one [block] of the leader's learned estimates. A large fleet needs several blocks, one value each. */
     data class SaveLearnedState(
         val block: Int,
         val learnedState: LearnedState,
     ) : Write
 
-    /** Records machines whose heartbeats are no longer answered, so that their leases expire. */
+    /** Records machines whose leases are no longer renewed, so that they expire. */
     data class FenceZone(
         val record: ZoneFence,
     ) : Write
 
-    /** Deletes the record of a zone fence that is lifted. */
+    /** Deletes the record of a lifted zone fence. */
     data class LiftZoneFence(
         val key: String,
     ) : Write
 
-    /** Rewrites the leader key, so that its revision, which is the term, rises. */
+    /** Rewrites the leader key, which raises its revision and therefore the term. */
     data object RaiseTerm : Write
 }
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -142,7 +142,7 @@
     ) {
         for (attempt in from.attempts.toList()) {
             val state = attempt.state
-            cluster.release(attempt, nowMs, Cluster.DESCRIBED_ANEW)
+            cluster.release(attempt, nowMs, Cluster.SUPERSEDED)
             val moved = cluster.occupy(attempt.job, attempt.index, attempt.number, to, attempt.incarnation)
             moved.startSent = attempt.startSent
             if (state != AttemptState.PLANNING) moved.moveTo(AttemptState.PLANNED, nowMs)
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -36,7 +36,7 @@
         if (pathLost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
         val limit = if (pathLost) 1 else most
         // A probe may take its whole timeout, and must not keep machines waiting that have something to start.
-        var probesLeft = if (most > cluster.bounds.directCalls / 2) MAX_CONCURRENT_PROBES else 0
+        var probesLeft = if (most > cluster.connectionLimits.directCalls / 2) MAX_CONCURRENT_PROBES else 0
         val calls = ArrayList<DirectCall>()
         for (machine in cluster.machines.values) {
             if (calls.size >= limit) break
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -259,7 +259,7 @@
         if (provesAbsence) {
             cluster.release(attempt, nowMs, proof)
         } else if (attempt.machine.lease.unacknowledgedTerm >= cluster.token(attempt.machine)) {
-            cluster.raiseWanted = true
+            cluster.termRaiseRequested = true
         }
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -58,7 +58,7 @@
         index: Int,
         nowMs: Long,
     ) {
-        job.attempt(index)?.let { cluster.release(it, nowMs, Cluster.DESCRIBED_ANEW) }
+        job.attempt(index)?.let { cluster.release(it, nowMs, Cluster.SUPERSEDED) }
     }
 
     private fun replayDone(
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLog.kt
@@ -4,23 +4,23 @@
 import mintfield.core.model.Settings
 
 /**
- * The jobs of which this process has told users that they are cancelled, in the order of telling. Peers read it, so that a leader
- * that cannot read the store learns of cancellations in time. Entries are numbered from 0; the oldest are dropped.
+ * Log of the jobs whose cancellation this process has confirmed to users, in the order of confirmation. Peers read it, so that a
+ * leader without access to the store learns of cancellations in time. Entries are numbered from 0; the oldest are dropped.
  *
- * [incarnation] distinguishes this process from an earlier one of the same controller, whose log is lost.
+ * [incarnation] distinguishes this process from earlier processes of the same controller, whose logs are lost.
  */
 class CancellationLog(
     private val incarnation: Long,
     private val size: Size = Size(PeerConstants.MIN_CANCELLATIONS_KEPT, PeerConstants.MIN_CANCELLATIONS_PER_PAGE),
 ) {
-    /** How many entries are [kept], and how many of them go into one page at the most. */
+    /** Maximum numbers of entries that are [kept] and that fit into one [page]. */
     data class Size(
         val kept: Int,
         val page: Int,
     ) {
-        /** Computes sizes. */
+        /** Derives sizes from the settings. */
         companion object {
-            /** The size for a store with the limits in [settings]: each cancellation is a change of the store, so that no more can come. */
+            /** The size for a store with the limits in [settings]. Each cancellation is a write, so the write limit bounds their rate. */
             fun of(settings: Settings): Size {
                 val perCancellationTime = settings.stateWriteRps * settings.cancelS
                 return Size(
@@ -34,10 +34,10 @@
     private val entries = ArrayDeque<String>()
     private val kept = HashSet<String>()
 
-    /** Number of the oldest entry that is kept. */
+    /** Number of the oldest kept entry. */
     private var first = 0L
 
-    /** Adds job [id], unless the log has it. To be called before a user is told that the job is cancelled. */
+    /** Appends job [id] unless it is already kept. Must be called before the cancellation is confirmed to the user. */
     fun append(id: String) {
         if (!kept.add(id)) return
         entries.addLast(id)
@@ -47,10 +47,10 @@
     }
 
     /**
-     * The page for a reader that has read the log of the process [ofIncarnation] up to, and without, entry [next]. It begins with the
-     * oldest entry if the reader knows another process, or if entry [next] has been dropped.
+     * Returns the page that starts with entry [next] of the log of process [ofIncarnation]. It starts with the oldest kept entry if
+     * [ofIncarnation] is another process, or if entry [next] has been dropped.
      */
-    fun after(
+    fun pageFrom(
         ofIncarnation: Long,
         next: Long,
     ): CancellationPage {
--- a/src/main/kotlin/mintfield/core/leadership/CancellationLogPosition.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationLogPosition.kt
@@ -1,13 +1,13 @@
 package mintfield.core.leadership
 
-/** How far a reader has read the [CancellationLog] of the process [incarnation]: the entry with the number [next] is the first that it lacks. */
+/** A reader's position in the [CancellationLog] of the process [incarnation]: [next] is the number of the first unread entry. */
 data class CancellationLogPosition(
     val incarnation: Long,
     val next: Long,
 ) {
-    /** Holds the position from which reading begins. */
+    /** The initial position. */
     companion object {
-        /** The position of a reader that has read nothing of any process. */
+        /** The position of a reader that has not read any log. */
         val NONE = CancellationLogPosition(incarnation = 0, next = 0)
     }
 }
--- a/src/main/kotlin/mintfield/core/leadership/CancellationPage.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationPage.kt
@@ -1,6 +1,6 @@
 package mintfield.core.leadership
 
-/** Consecutive entries of the [CancellationLog] of the process [incarnation]: [ids] from number [from] on, of [total] entries ever made. */
+/** Consecutive entries of the [CancellationLog] of the process [incarnation]: [ids] starting at number [from], of [total] entries ever appended. */
 data class CancellationPage(
     val incarnation: Long,
     val from: Long,
--- a/src/main/kotlin/mintfield/core/leadership/CancellationWatermark.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationWatermark.kt
@@ -1,75 +1,74 @@
 package mintfield.core.leadership
 
 /**
- * The moment up to which a controller knows of every cancellation that any user has been told of: a low watermark over the store and
- * all peers.
+ * The time up to which a controller knows every cancellation confirmed to any user: a low watermark over the store and all peers.
  *
- * The controller's view of the store shows all cancellations up to the sending of the last read that was answered. Beyond that only the
- * peers can tell. Users are told by controllers alone, so nothing is missing once each configured peer, still the same process as at the time
- * of that read, has handed over its whole [CancellationLog]. A peer that is silent, cut off or newly started proves nothing, and the
- * watermark stands still.
+ * A successful read of the store shows all cancellations up to the time at which the read was sent. Later cancellations are known only
+ * from the peers. Only controllers confirm cancellations to users, so none is missing once each configured peer, still the same process
+ * as at the time of that read, has delivered its complete [CancellationLog]. A peer that is unresponsive, partitioned or newly started
+ * does not advance the watermark.
  *
- * All times are in milliseconds of this controller's steady clock. An answer of a peer counts for the moment at which the peer was asked,
- * as the answer may have been delayed on the way.
+ * All times are in milliseconds of this controller's steady clock. A peer's response counts from the time of the request, because the
+ * response may have been delayed in the network.
  */
 class CancellationWatermark(
     peers: Collection<String>,
 ) {
-    /** What was read of the log of one process of a peer. */
+    /** Progress of reading the log of one process of a peer. */
     private class PeerLog(
         val incarnation: Long,
-        /** When an answer of the process first arrived: it has run since before that. */
+        /** Time of the first response from the process, which was running before then. */
         val firstContactMs: Long,
-        /** Number of the first entry that was not read. */
+        /** Number of the first unread entry. */
         var next: Long,
-        /** The log has been read completely as of this moment. */
+        /** Time as of which the log has been read completely. */
         var completeToMs: Long,
     )
 
     private val peerLogs = peers.associateWith<String, PeerLog?> { null }.toMutableMap()
-    private var viewToMs = NEVER
+    private var storeReadToMs = NEVER
 
-    /** How far the log of [peer] was read. */
-    fun progressOf(peer: String): CancellationLogPosition =
+    /** The position up to which the log of [peer] has been read. */
+    fun positionOf(peer: String): CancellationLogPosition =
         peerLogs[peer]?.let { CancellationLogPosition(it.incarnation, it.next) } ?: CancellationLogPosition.NONE
 
-    /** The view of the jobs is as the store showed them to a read that was sent at [sentAtMs]. */
-    fun viewed(sentAtMs: Long) {
-        viewToMs = maxOf(viewToMs, sentAtMs)
+    /** Records that a read of the jobs, sent to the store at [sentAtMs], was successful. */
+    fun storeReadCompleted(sentAtMs: Long) {
+        storeReadToMs = maxOf(storeReadToMs, sentAtMs)
     }
 
-    /** [peer], asked at [askedAtMs], has answered with [page] of its log, which arrived at [nowMs]. */
-    fun answered(
+    /** Records [page] of the log of [peer], requested at [requestedAtMs] and received at [nowMs]. */
+    fun pageReceived(
         peer: String,
         page: CancellationPage,
-        askedAtMs: Long,
+        requestedAtMs: Long,
         nowMs: Long,
     ) {
         if (peer !in peerLogs) return
         val known = peerLogs[peer]
-        // With another process, or after entries that were dropped unread, it is not known here what came before.
+        // For a new process, or if entries were dropped before they were read, the earlier entries are unknown.
         val isNew = known == null || known.incarnation != page.incarnation || page.from > known.next
         val log = if (isNew) PeerLog(page.incarnation, nowMs, page.from, NEVER) else known
         peerLogs[peer] = log
         log.next = maxOf(log.next, page.from + page.ids.size)
-        if (log.next >= page.total) log.completeToMs = maxOf(log.completeToMs, askedAtMs)
+        if (log.next >= page.total) log.completeToMs = maxOf(log.completeToMs, requestedAtMs)
     }
 
-    /** All cancellations that users were told of before this moment are known here. [NEVER] if that is known of no moment. */
+    /** The watermark: all cancellations confirmed to users before this time are known. [NEVER] if there is none yet, [ALWAYS] if none can be missing. */
     fun upToMs(): Long {
-        // A controller without peers is the only one that tells users, and what an earlier process told is in the store.
-        if (peerLogs.isEmpty()) return if (viewToMs == NEVER) NEVER else ALWAYS
-        return maxOf(viewToMs, peerLogs.values.minOf(::completeToMs))
+        // Without peers only this controller confirms cancellations, and those of its earlier processes are in the store.
+        if (peerLogs.isEmpty()) return if (storeReadToMs == NEVER) NEVER else ALWAYS
+        return maxOf(storeReadToMs, peerLogs.values.minOf(::completeToMs))
     }
 
-    private fun completeToMs(log: PeerLog?): Long = if (log != null && log.firstContactMs <= viewToMs) log.completeToMs else NEVER
+    private fun completeToMs(log: PeerLog?): Long = if (log != null && log.firstContactMs <= storeReadToMs) log.completeToMs else NEVER
 
-    /** The ends of the range of moments. Differences with any time of the clock do not overflow. */
+    /** The bounds of the time range. Differences between a bound and any clock time do not overflow. */
     companion object {
-        /** Before all times of the clock. */
+        /** Earlier than any clock time. */
         const val NEVER = Long.MIN_VALUE / 4
 
-        /** After all times of the clock. */
+        /** Later than any clock time. */
         const val ALWAYS = Long.MAX_VALUE / 4
     }
 }
--- a/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
+++ b/src/main/kotlin/mintfield/core/leadership/DirectRouteRecovery.kt
@@ -3,11 +3,11 @@
 import mintfield.core.constants.PeerConstants
 
 /**
- * Decides which workers, whose heartbeats peers relay to this leader, are told to connect to the leader directly. A relayed worker depends
- * on two controllers, and when the leader stalls it finds that out at each peer in turn.
+ * Decides which workers with relayed heartbeats are redirected to connect directly to this leader. A relayed worker depends on two
+ * controllers, and when the leader stalls it detects this at each peer in turn.
  *
- * After a partition the heartbeats of a whole zone come relayed. One worker at a time is sent to probe the direct route; the others
- * follow when a direct heartbeat of the zone arrives. [directFreshMs] is how long a direct heartbeat proves the route, in milliseconds.
+ * After a partition the heartbeats of a whole zone are relayed. One worker at a time probes the direct route, and the others follow when
+ * a direct heartbeat arrives from the zone. A direct heartbeat proves the route for [directFreshMs] milliseconds.
  */
 class DirectRouteRecovery(
     private val directFreshMs: Long,
@@ -16,7 +16,7 @@
     private val probedAtMs = HashMap<String, Long>()
     private val redirectedAtMs = HashMap<String, Long>()
 
-    /** A worker of [zone] has sent a heartbeat here directly. */
+    /** Records a direct heartbeat from a worker of [zone]. */
     fun directHeartbeat(
         zone: String,
         nowMs: Long,
@@ -24,7 +24,7 @@
         directHeartbeatAtMs[zone] = nowMs
     }
 
-    /** Whether [machine] of [zone], whose heartbeat was relayed, is to connect directly from now on. True counts as a redirect of it. */
+    /** Whether to redirect [machine] of [zone], whose heartbeat was relayed, to connect directly. Returning true counts as a redirect. */
     fun shouldConnectDirectly(
         machine: String,
         zone: String,
--- a/src/main/kotlin/mintfield/core/leadership/IsolatedLeaderProbe.kt
+++ b/src/main/kotlin/mintfield/core/leadership/IsolatedLeaderProbe.kt
@@ -1,16 +1,16 @@
 package mintfield.core.leadership
 
 /**
- * Lets workers find out what an isolated leader cannot: whether there is another leader. Each worker is redirected once. One that finds a new
- * leader stays there; one that comes back has found none, so that its lease depends on this leader alone and is renewed.
+ * Uses redirects of workers to find out whether an isolated leader has been replaced. Each worker is redirected once per interval. A
+ * worker that finds a new leader stays with it. A worker that returns has found none: its lease depends on this leader alone and is renewed.
  */
 class IsolatedLeaderProbe(
-    /** Milliseconds between two redirects of the same worker. */
+    /** Minimum time between two redirects of the same worker, in milliseconds. */
     private val redirectIntervalMs: Long,
 ) {
     private val redirectedAtMs = HashMap<String, Long>()
 
-    /** Whether the worker of [machine] is to be redirected now. True counts as a redirect. */
+    /** Whether to redirect the worker of [machine] now. Returning true counts as a redirect. */
     fun shouldRedirect(
         machine: String,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
@@ -1,22 +1,22 @@
 package mintfield.core.leadership
 
-/** The state machine of one controller's [Role]. Not thread-safe. */
+/** State machine of a controller's [Role]. Not thread-safe. */
 class LeaderRole(
     private val log: (String) -> Unit,
 ) {
     var role = Role.SEEKING
         private set
 
-    /** Name of the controller that leads, or null if that is not known. */
+    /** Name of the leading controller, or null if unknown. */
     var leader: String? = null
         private set
 
-    /** The only place where the role changes. Throws [IllegalStateException] if the change to [next] is not allowed. */
+    /** Changes the role to [next] and the known leader to [leader]. Throws [IllegalStateException] if the transition is not allowed. */
     fun moveTo(
         next: Role,
         leader: String?,
     ) {
-        check(next in allowed.getValue(role)) { "$role to $next" }
+        check(next in allowed.getValue(role)) { "role transition not allowed: $role to $next" }
         if (next != role || leader != this.leader) log("$role becomes $next, leader ${leader ?: "unknown"}")
         role = next
         this.leader = leader
--- a/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
@@ -3,8 +3,8 @@
 import mintfield.core.constants.PeerConstants
 
 /**
- * A failure detector for the peers, by the status messages that arrive from them. A peer counts as reachable for a short time after its last
- * message, and as unreachable only after a longer silence; in between it is neither.
+ * Failure detector for peers, based on the status messages received from them. A peer counts as reachable for a short time after its last
+ * message, and as unreachable only after a longer time without one. In between it is neither.
  *
  * All times are in milliseconds of this controller's steady clock; the controller started at [startedAtMs]. Not thread-safe.
  */
@@ -19,7 +19,7 @@
     private val lastContact = HashMap<String, Contact>()
     private val refusedAtMs = HashMap<String, Long>()
 
-    /** A status message of [peer] has arrived. [storeServes]: the store serves that peer. */
+    /** Records a status message from [peer]. [storeServes] states whether the store serves [peer]. */
     fun recordContact(
         peer: String,
         storeServes: Boolean,
@@ -28,7 +28,7 @@
         lastContact[peer] = Contact(storeServes, nowMs)
     }
 
-    /** [peer] refused a connection. */
+    /** Records that [peer] refused a connection. */
     fun refused(
         peer: String,
         nowMs: Long,
@@ -38,22 +38,22 @@
 
     private fun Contact.isFresh(nowMs: Long) = nowMs - atMs < PeerConstants.PEER_STATUS_TIMEOUT_MS
 
-    /** Whether a message of [peer] has arrived lately. */
+    /** Whether a message from [peer] arrived within [PeerConstants.PEER_STATUS_TIMEOUT_MS]. */
     fun isReachable(
         peer: String,
         nowMs: Long,
     ): Boolean = lastContact[peer]?.isFresh(nowMs) ?: false
 
-    /** Whether a message of any peer has arrived lately. */
+    /** Whether a message from any peer arrived within [PeerConstants.PEER_STATUS_TIMEOUT_MS]. */
     fun isAnyReachable(nowMs: Long): Boolean = lastContact.values.any { it.isFresh(nowMs) }
 
-    /** A reachable peer other than [leader], or null. */
+    /** A reachable peer other than [leader], or null if there is none. */
     fun reachablePeerExcept(
         leader: String,
         nowMs: Long,
     ): String? = lastContact.entries.firstOrNull { it.key != leader && it.value.isFresh(nowMs) }?.key
 
-    /** A reachable peer that the store serves, or null. */
+    /** A reachable peer that the store serves, or null if there is none. */
     fun servedPeer(nowMs: Long): String? = lastContact.entries.firstOrNull { it.value.storeServes && it.value.isFresh(nowMs) }?.key
 
     /** Whether [peer] is reachable and the store serves it. */
@@ -63,8 +63,8 @@
     ): Boolean = isReachable(peer, nowMs) && lastContact.getValue(peer).storeServes
 
     /**
-     * Whether [peer] has been silent for longer than a restart takes; right after the start of this controller no peer has. One that
-     * refuses connections is not silent: a worker that tries it learns so at once.
+     * Whether [peer] has sent no status message for longer than a restart takes, counted at the earliest from the start of this
+     * controller. A peer that refused a connection recently is not unreachable, because workers detect the refusal at once.
      */
     fun isUnreachable(
         peer: String,
--- a/src/main/kotlin/mintfield/core/leadership/PeerRedirects.kt
+++ b/src/main/kotlin/mintfield/core/leadership/PeerRedirects.kt
@@ -3,15 +3,15 @@
 import mintfield.core.constants.PeerConstants
 
 /**
- * Decides where a worker is redirected that comes to a controller which cannot reach the leader. The next controller in the worker's own order
- * may be that leader, stalled, where the worker would wait for its timeout. So it is redirected to a reachable peer once, and then left to
- * its own order for a while, as it may reach the leader itself.
+ * Decides where a controller that cannot reach the leader redirects workers. The next controller in a worker's own order may be the
+ * stalled leader, where the worker would wait for its timeout. Each worker is therefore redirected to a reachable peer once, and then
+ * follows its own order for [PeerConstants.REDIRECT_BACKOFF_MS], because it may be able to reach the leader itself.
  */
 class PeerRedirects {
     private val redirectedAtMs = HashMap<String, Long>()
 
-    /** [peer] if the worker of [machine] is to be redirected to it now, else null. A result other than null counts as a redirect. */
-    fun offer(
+    /** Returns [peer] if the worker of [machine] is to be redirected to it now, else null. A non-null result counts as a redirect. */
+    fun redirectTarget(
         machine: String,
         peer: String?,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/leadership/RelayPeerSelector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/RelayPeerSelector.kt
@@ -3,36 +3,37 @@
 import mintfield.core.constants.PeerConstants
 
 /**
- * Decides at which controller workers report to a leader, directly or through a relay.
+ * Decides whether workers send heartbeats directly to this leader or through a relay peer.
  *
- * A worker tries the controllers in a ring, and waits for its timeout at each that does not respond. If the leader stalls, or is partitioned
- * from its workers, while the controller after it is unreachable too, the workers' leases end before they reach a third one. So
- * while the controller after the leader is unreachable, workers report to a peer that is followed by a responsive one, and that peer relays their
- * heartbeats.
+ * A worker tries the controllers in ring order and waits for its timeout at each unresponsive one. If the leader stalls or is partitioned
+ * from its workers while the next controller is unreachable too, the workers' leases end before they reach a third controller. While the
+ * controller after the leader is unreachable, workers are therefore redirected to a peer that is followed by a responsive controller, and
+ * that peer relays their heartbeats.
  */
 class RelayPeerSelector(
     members: Collection<String>,
     private val memberName: String,
 ) {
-    /** The controllers in the order in which workers try them. */
+    /** The controllers in the order in which workers try them; the first follows the last. */
     private val ring = members.sorted()
     private val redirectedAtMs = HashMap<String, Long>()
 
-    private fun after(member: String): String = ring[(ring.indexOf(member) + 1) % ring.size]
+    private fun successorOf(member: String): String = ring[(ring.indexOf(member) + 1) % ring.size]
 
-    /** The peer at which workers are to report, or null if they are to report here. */
+    /** The peer that is to relay the heartbeats of workers, or null if workers are to connect to this leader directly. */
     fun relayPeer(
         isUnreachable: (String) -> Boolean,
         isReachable: (String) -> Boolean,
     ): String? {
-        val next = after(memberName)
+        val next = successorOf(memberName)
         if (next == memberName || !isUnreachable(next)) return null
-        return ring.firstOrNull { it != memberName && isReachable(it) && (after(it) == memberName || !isUnreachable(after(it))) }
+        return ring.firstOrNull { it != memberName && isReachable(it) && (successorOf(it) == memberName || !isUnreachable(successorOf(it))) }
     }
 
     /**
-     * Whether [machine], which reports here, is to be redirected to the relay peer now. True counts as a redirect. A worker whose last heartbeat
-     * was relayed by that peer ([wasRelayed]) has lost the peer, and one that is back soon has not reached it.
+     * Whether to redirect [machine], which has sent a heartbeat directly, to the relay peer now. Returning true counts as a redirect. A
+     * worker whose last heartbeat was relayed by the peer ([wasRelayed]) has lost its connection to the peer, and a worker that returns
+     * within [PeerConstants.RELAY_REDIRECT_BACKOFF_MS] could not reach it. Neither is redirected.
      */
     fun shouldRedirect(
         machine: String,
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -2,37 +2,37 @@
 
 import mintfield.core.constants.PeerConstants
 
-/** Whether the store serves this controller, by the outcomes of its calls. All times are in steady milliseconds. Not thread-safe. */
+/** Tracks whether the store serves this controller, from the outcomes of its calls. Times are in milliseconds of a steady clock. Not thread-safe. */
 class StoreConnectivity {
     private var unservedSinceMs: Long? = null
-    private var noAnswerSinceMs: Long? = null
+    private var noResponseSinceMs: Long? = null
 
     /** Whether the store served the last call. */
     val served: Boolean get() = unservedSinceMs == null
 
-    /** The store has carried out a call. */
+    /** Records that the store carried out a call. */
     fun served() {
         unservedSinceMs = null
-        noAnswerSinceMs = null
+        noResponseSinceMs = null
     }
 
-    /** The store has answered a call and refused it. */
+    /** Records that the store responded to a call with a refusal. */
     fun refused(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
-        noAnswerSinceMs = null
+        noResponseSinceMs = null
     }
 
-    /** A call got no answer. */
-    fun noAnswer(nowMs: Long) {
+    /** Records that a call got no response. */
+    fun noResponse(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
-        noAnswerSinceMs = noAnswerSinceMs ?: nowMs
+        noResponseSinceMs = noResponseSinceMs ?: nowMs
     }
 
-    /** Whether the store has not served this controller for a while. */
+    /** Whether the store has not served this controller for longer than [PeerConstants.STORE_UNAVAILABLE_MS]. */
     fun unservedForLong(nowMs: Long): Boolean = hasLasted(unservedSinceMs, nowMs)
 
-    /** Whether nothing at all has come from the store for a while: unlike an outage, in which it refuses, this is a partition. */
-    fun unreachableForLong(nowMs: Long): Boolean = hasLasted(noAnswerSinceMs, nowMs)
+    /** Whether calls have got no response for longer than [PeerConstants.STORE_UNAVAILABLE_MS]. It indicates a partition: in an outage the store refuses. */
+    fun unreachableForLong(nowMs: Long): Boolean = hasLasted(noResponseSinceMs, nowMs)
 
     private fun hasLasted(
         sinceMs: Long?,
--- a/src/main/kotlin/mintfield/core/placement/FailoverSettling.kt
+++ b/src/main/kotlin/mintfield/core/placement/FailoverSettling.kt
@@ -20,7 +20,7 @@
         val spot: Boolean,
     )
 
-    private val underWay = nowMs - cluster.replayedAtMs < cluster.timings.settleMs
+    private val underWay = nowMs - cluster.replayedAtMs < cluster.timings.failoverGraceMs
     private val expectedByUse = HashMap<ImageUse, Boolean>()
 
     /** Whether tasks of [job] are to be placed only where their image is. */
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -24,7 +24,7 @@
         maxTasks: Int,
         replicasOnly: Boolean = false,
     ): Int {
-        val waiting = if (nowMs < cluster.holdUntilMs) emptyList() else waitingJobs(nowMs, replicasOnly)
+        val waiting = if (nowMs < cluster.planningSuspendedUntilMs) emptyList() else waitingJobs(nowMs, replicasOnly)
         val openMachines = if (waiting.isEmpty()) emptyList() else openMachines(nowMs)
         if (openMachines.isEmpty()) return 0
         val reserve = ReplicaReserve(cluster, openMachines)
--- a/src/main/kotlin/mintfield/core/steps/JobSteps.kt
+++ b/src/main/kotlin/mintfield/core/steps/JobSteps.kt
@@ -1,23 +1,23 @@
 package mintfield.core.steps
 
-/** The handling of a job as a workflow. It determines which outputs the job's records must hold, so that a new leader can replay them. */
+/** The processing of a job as a workflow, which determines the outputs that the job's records must hold for the replay by a new leader. */
 object JobSteps {
     /** Reads the catalogue of machine types. */
     const val CATALOGUE = "catalogue"
 
-    /** Computes which machine types could hold a task. Scale-out and plan both use it, so it is recorded. */
+    /** Computes the machine types with capacity for a task. The output is recorded because scale-out and plan both use it. */
     const val COMPATIBLE_TYPES = "fits"
 
-    /** Records that the job is accepted. */
+    /** Records the accepted job. */
     const val INTAKE = "intake"
 
     /**
-     * The finish steps of the jobs that it depends on. Their outputs are those jobs' final states, which are recorded and never change;
-     * whether the job is ready is computed from them wherever it is needed.
+     * The finish steps of the job's predecessors. Their outputs are final states, which are recorded and never change. Whether the job
+     * is ready is computed from them where needed.
      */
     const val PREDECESSORS = "predecessors"
 
-    /** Reads which machines there are and what runs on them. */
+    /** Reads the machines and the tasks that run on them. */
     const val FLEET = "fleet"
 
     /** Assigns tasks to machines. */
@@ -26,19 +26,19 @@
     /** Records the intent to provision machines. */
     const val SCALE_OUT = "rent"
 
-    /** Sends starts to workers. Commands are idempotent, so there is nothing to record. */
+    /** Sends start commands to workers. Commands are idempotent, so nothing is recorded. */
     const val START = "start"
 
-    /** Reads which tasks the workers report as done. */
+    /** Reads the tasks that workers report as done. */
     const val HEARTBEATS = "reports"
 
-    /** Adds tasks to the done-set. */
+    /** Adds completed tasks to the recorded set of done tasks. */
     const val DONE_SET = "done-set"
 
-    /** Records the final state. */
+    /** Records the final state of the job. */
     const val FINISH = "finish"
 
-    /** The steps and what they feed. */
+    /** The steps and the data flow between them. */
     val graph =
         StepGraph(
             listOf(
--- a/src/main/kotlin/mintfield/core/steps/StepGraph.kt
+++ b/src/main/kotlin/mintfield/core/steps/StepGraph.kt
@@ -1,8 +1,8 @@
 package mintfield.core.steps
 
 /**
- * The steps of a workflow as an acyclic graph that ends in the step [final]. Throws [IllegalArgumentException] if [final] or a step that
- * another one feeds is missing, or if the steps form a cycle.
+ * The steps of a workflow as an acyclic graph that ends in the step [final]. Throws [IllegalArgumentException] if [final] or the target
+ * of an edge is missing, or if the steps form a cycle.
  */
 class StepGraph(
     steps: List<Step>,
@@ -10,18 +10,19 @@
 ) {
     private val byName = steps.associateBy { it.name }
 
-    /** The names of the steps in topological order: each before those that it feeds. */
+    /** The names of the steps in topological order: each step comes before the steps that it feeds. */
     val names: List<String> = topologicalOrder(steps)
 
     init {
-        require(final in byName) { "no final step $final" }
+        require(final in byName) { "final step $final is not among the steps" }
         steps.forEach { step -> step.feeds.forEach { require(it in byName) { "${step.name} feeds the unknown step $it" } } }
     }
 
     /**
-     * The names of the steps whose outputs must be recorded, by the rule of selective function recording in Apiary, a DBMS-integrated
-     * transactional function-as-a-service framework: the steps that write, and those that only read but whose output reaches more than
-     * one among the recorded steps and the final step. If a replay repeated such a read it could disagree with what was recorded.
+     * Returns the names of the steps whose outputs must be recorded, by the rule of selective function recording in Apiary, a
+     * DBMS-integrated transactional function-as-a-service framework: all steps that write, and each read-only step whose output reaches
+     * more than one among the recorded steps and the final step. A replay that repeated the read could contradict the recorded
+     * outputs.
      */
     fun recorded(): Set<String> {
         val recorded = names.filterTo(LinkedHashSet()) { byName.getValue(it).writes }
@@ -48,7 +49,7 @@
         return reached
     }
 
-    /** Kahn's algorithm. */
+    /** Sorts the steps by Kahn's algorithm. */
     private fun topologicalOrder(steps: List<Step>): List<String> {
         val unmetInputs = steps.associateTo(LinkedHashMap()) { step -> step.name to steps.count { step.name in it.feeds } }
         val order = ArrayList<String>()
--- a/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
+++ b/src/main/kotlin/mintfield/core/upgrade/ControllerVersions.kt
@@ -1,11 +1,11 @@
 package mintfield.core.upgrade
 
 /**
- * The generations that the other controllers run. What a controller of an earlier generation would misread stays off until all are
- * known to have the generation that it needs.
+ * The generations of the other controllers. A feature that earlier generations would misread stays disabled until all controllers are
+ * known to run a generation that supports it.
  *
- * Two sources count, and both must allow it: the generation that a controller has recorded in the store, which outlives its process, and
- * the one in its last peer status, which reveals that an earlier program was installed in place of a later one.
+ * Two sources must agree: the generation that a controller has recorded in the store, which outlives its process, and the generation in
+ * its last peer status, which reveals a downgrade to an earlier version.
  */
 class ControllerVersions(
     /** The names of the other controllers. */
@@ -14,7 +14,7 @@
     private val recorded = HashMap<String, Int>()
     private val announced = HashMap<String, Int>()
 
-    /** The store holds [generation] for the controller [member]. */
+    /** Records that the store holds [generation] for the controller [member]. */
     fun recorded(
         member: String,
         generation: Int,
@@ -22,7 +22,7 @@
         recorded[member] = generation
     }
 
-    /** A peer status of the controller [member] names [generation]. */
+    /** Records that a peer status of the controller [member] states [generation]. */
     fun announced(
         member: String,
         generation: Int,
@@ -30,8 +30,8 @@
         announced[member] = generation
     }
 
-    /** The peers that are not known to run [generation] or a later one. */
-    fun lacking(generation: Int): List<String> = peers.filter { isRecordedBefore(it, generation) || isAnnouncedBefore(it, generation) }
+    /** The peers not known to run [generation] or a later one. */
+    fun peersBelow(generation: Int): List<String> = peers.filter { isRecordedBefore(it, generation) || isAnnouncedBefore(it, generation) }
 
     private fun isRecordedBefore(
         peer: String,
--- a/src/main/kotlin/mintfield/core/upgrade/Generation.kt
+++ b/src/main/kotlin/mintfield/core/upgrade/Generation.kt
@@ -1,13 +1,13 @@
 package mintfield.core.upgrade
 
-/** Generations of the program: the number rises with each ability that all controllers must have before any of them may use it. */
+/** Compatibility generations of the controller. The number rises with each feature that all controllers must support before any may use it. */
 object Generation {
-    /** The first released records and messages. */
+    /** The generation of the first released record and message formats. */
     const val FIRST = 1
 
-    /** Jobs may depend on other jobs. */
+    /** Support for jobs that depend on other jobs. */
     const val DEPENDENCIES = 2
 
-    /** The generation of this program. */
+    /** The generation that this version of the controller runs. */
     const val CURRENT = DEPENDENCIES
 }
