--- a/src/main/kotlin/mintfield/core/ConnectionLimits.kt
+++ b/src/main/kotlin/mintfield/core/ConnectionLimits.kt
@@ -5,7 +5,7 @@
 import mintfield.core.constants.WorkerConstants
 import mintfield.core.model.Settings
 
-/** Limits on a controller's concurrent connections of each kind, each a share of its permitted sockets. */
+/** Limits on a controller's concurrent connections of each kind, derived from the number of sockets that it may use. */
 class ConnectionLimits(
     settings: Settings,
 ) {
--- a/src/main/kotlin/mintfield/core/LeaderReplay.kt
+++ b/src/main/kotlin/mintfield/core/LeaderReplay.kt
@@ -8,8 +8,9 @@
 import mintfield.core.jobs.RoundRecord
 
 /**
- * Restores a new leader's state from the records of earlier leaders. The caller passes the records one at a time, jobs first, then
- * rounds in the order of their revisions, and finally calls [complete]. Until then the leader neither plans nor sends starts.
+ * Restores a new leader's state from the records of earlier leaders. The caller passes the records one at a time, the rounds
+ * after the jobs and in the order of their revisions, and finally calls [complete]. Until then the leader plans nothing and starts no
+ * tasks.
  */
 class LeaderReplay internal constructor(
     private val cluster: Cluster,
--- a/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaderRole.kt
@@ -11,7 +11,10 @@
     var leader: String? = null
         private set
 
-    /** Changes the role to [next] and the known leader to [leader]. Throws [IllegalStateException] if the transition is not allowed. */
+    /**
+     * Changes the role to [next] and the known leader to [leader]. All role changes go through this function.
+     * Throws [IllegalStateException] if the transition is not allowed.
+     */
     fun moveTo(
         next: Role,
         leader: String?,
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -31,7 +31,10 @@
     /** Whether the store has not served this controller for longer than [PeerConstants.STORE_UNAVAILABLE_MS]. */
     fun unservedForLong(nowMs: Long): Boolean = hasLasted(unservedSinceMs, nowMs)
 
-    /** Whether calls have got no response for longer than [PeerConstants.STORE_UNAVAILABLE_MS]. It indicates a partition: in an outage the store refuses. */
+    /**
+     * Whether the store is partitioned from this controller: no response for longer than [PeerConstants.STORE_UNAVAILABLE_MS]. In an
+     * outage the store refuses calls instead.
+     */
     fun unreachableForLong(nowMs: Long): Boolean = hasLasted(noResponseSinceMs, nowMs)
 
     private fun hasLasted(
