--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
@@ -36,7 +36,7 @@
         if (pathLost) pausedUntilMs = nowMs + WorkerConstants.DIRECT_PATH_PROBE_MS
         val limit = if (pathLost) 1 else maxCalls
         // A probe may last until its timeout, and must not delay calls to machines that have tasks to start.
-        var probesLeft = if (maxCalls > cluster.bounds.directCalls / 2) MAX_CONCURRENT_PROBES else 0
+        var probesLeft = if (maxCalls > cluster.connectionLimits.directCalls / 2) MAX_CONCURRENT_PROBES else 0
         val calls = ArrayList<DirectCall>()
         for (machine in cluster.machines.values) {
             if (calls.size >= limit) break
