--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -57,9 +57,9 @@
     private val scope = loop.scope()
     private val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
     private val services = ExternalServices(settings, loop, group)
-    private val checkGapMs = (TimeUnits.MS_PER_SECOND / (settings.stateRps * StoreConstants.FRESHNESS_CHECK_FRACTION)).toLong()
+    private val freshnessCheckIntervalMs = (TimeUnits.MS_PER_SECOND / (settings.stateRps * StoreConstants.FRESHNESS_CHECK_FRACTION)).toLong()
     private val replicator =
-        JobReplicator(services.store, scope, checkGapMs, loop::nowMs) { compatibleMachineTypes(it.spec, services.types.values) }
+        JobReplicator(services.store, scope, freshnessCheckIntervalMs, loop::nowMs) { compatibleMachineTypes(it.spec, services.types.values) }
     private val cancellationWatermark = CancellationWatermark(settings.peers.map { it.member })
     private val cancellations = CancellationLog(Random.nextLong(), CancellationLog.Size.of(settings))
 
@@ -111,7 +111,7 @@
         return LeaderElection(loop, scope, services, replicator, cancellationWatermark, part) { statusSender.announce() }
     }
 
-    /** The peers and their health as the succession of shards needs them. */
+    /** The liveness of the peers, as input to the succession of shards. */
     private inner class ObservedPeers : PeerLiveness {
         override val names get() = settings.peers.map { it.member }
 
@@ -122,7 +122,7 @@
 
     private fun isShortOfSockets(): Boolean = clientServer.connectionCount >= limits.shortConnectionsFrom
 
-    /** Runs the controller in the calling thread, until [stop] is called. */
+    /** Runs the controller and blocks the calling thread until [stop] is called. */
     fun run() {
         FleetCapacityCheck(settings).shortcomings(Runtime.getRuntime().maxMemory()).forEach(Log::info)
         loop.start()
@@ -152,27 +152,27 @@
         scope.launch(CoroutineName(name)) { work() }
     }
 
-    /** Ends this controller at once, as if its process were killed; for tests that run several in one process. */
+    /** Stops this controller immediately, without any shutdown procedure, like a kill of its process. For tests that run several in one process. */
     fun stop() {
         loop.stop()
         group.shutdownNow()
     }
 
-    /** Runs [task] between this controller's own events; for tests that make a controller pause. */
+    /** Runs [task] on the event loop of this controller. For tests that pause a controller. */
     internal fun runOnLoop(task: Runnable) = loop.post(task)
 
     /**
-     * Opens the client port once it is known who leads, or after a while without a leader. Before that every worker would have to be
-     * turned away, several times a second, and that load would delay a small controller in finding the leader.
+     * Opens the client port once a leader is known, or after [LeadershipConstants.LISTEN_DELAY_WITHOUT_LEADER_MS] without one. Without a
+     * known leader each worker is refused and retries several times a second, a load that delays a small controller in finding the leader.
      */
     private suspend fun serveClients() {
-        val until = loop.nowMs() + LeadershipConstants.LISTEN_DELAY_WITHOUT_LEADER_MS
-        while (!elections.anyKnown && loop.nowMs() < until) delay(LeadershipConstants.LEADER_KNOWN_CHECK_MS)
+        val deadlineMs = loop.nowMs() + LeadershipConstants.LISTEN_DELAY_WITHOUT_LEADER_MS
+        while (!elections.anyKnown && loop.nowMs() < deadlineMs) delay(LeadershipConstants.LEADER_KNOWN_CHECK_MS)
         clientServer.startWhenFree(address(settings.clientListen))
-        Log.info("${settings.member} in ${settings.zone} serves ${settings.clientListen}")
+        Log.info("controller ${settings.member} in zone ${settings.zone} serves ${settings.clientListen}")
     }
 
-    /** Reads what must be known before users can be served: the machine types and the unfinished jobs. */
+    /** Reads the machine types and the unfinished jobs, without which no user can be served, and then records the version of this controller. */
     private suspend fun readInitialState() {
         while (services.types.isEmpty()) {
             services.readTypes()
@@ -182,7 +182,7 @@
         versions.record()
     }
 
-    /** While the state service is unavailable users are refused without asking it, so its recovery has to be detected by other calls. */
+    /** Polls the state service while it is unavailable. User requests are then refused without calling it, so they cannot detect its recovery. */
     private suspend fun detectStoreRecovery() {
         while (true) {
             delay(StoreConstants.STORE_RETRY_MS * 2)
@@ -190,5 +190,5 @@
         }
     }
 
-    private fun address(text: String) = requireNotNull(parseAddress(text)) { "not an address: $text" }
+    private fun address(text: String) = requireNotNull(parseAddress(text)) { "invalid address, expected HOST:PORT: $text" }
 }
--- a/src/main/kotlin/mintfield/app/ControllerMonitor.kt
+++ b/src/main/kotlin/mintfield/app/ControllerMonitor.kt
@@ -7,7 +7,7 @@
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 
-/** Logs what operators need to see of any controller: pauses of its process, whether workers are sent to a peer, and request times. */
+/** Logs pauses of this controller process, redirects of workers to a peer, and a periodic summary of request times. */
 class ControllerMonitor(
     private val loop: EventLoop,
     private val elections: LeaderElections,
@@ -17,7 +17,7 @@
     private var relayPeer: String? = null
     private var nextSummaryAtMs = 0L
 
-    /** Watches about once a second, until cancelled. */
+    /** Checks every [PeerConstants.HEALTH_CHECK_MS] until cancelled. */
     suspend fun run() {
         nextSummaryAtMs = loop.nowMs() + PeerConstants.SUMMARY_INTERVAL_MS
         while (true) {
@@ -29,8 +29,8 @@
         }
     }
 
-    private fun logPause(lostMs: Long) {
-        if (lostMs > PeerConstants.PAUSE_LOG_THRESHOLD_MS) Log.info("this controller was paused for $lostMs ms")
+    private fun logPause(pausedMs: Long) {
+        if (pausedMs > PeerConstants.PAUSE_LOG_THRESHOLD_MS) Log.info("controller process: paused for $pausedMs ms")
     }
 
     private fun logRelayPeer() {
@@ -38,9 +38,9 @@
         if (current == relayPeer) return
         relayPeer = current
         if (current != null) {
-            Log.info("next controller: unreachable, workers are redirected to $current")
+            Log.info("relay: next controller unreachable, redirecting workers to $current")
         } else {
-            Log.info("next controller: reachable again, workers may come here directly")
+            Log.info("relay: next controller reachable again, workers may connect to this controller directly")
         }
     }
 
--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -10,7 +10,7 @@
 import mintfield.core.ownership.ShardLoad
 import mintfield.io.loop.EventLoop
 
-/** This controller's status for its peers, gathered from its components, and their confirmed cancellations in return. */
+/** Collects the status of this controller for its peers from its components, and applies the confirmed cancellations in their responses. */
 internal class ControllerStatus(
     private val loop: EventLoop,
     private val elections: LeaderElections,
@@ -28,7 +28,7 @@
     override fun loadOf(shard: String): ShardLoad? {
         val shardLeader = elections.member(shard)?.leader?.shardLeader
         val load = shardLeader?.load() ?: return null
-        // Leaders of other shards in this process learn the load here, as peers do from the status message.
+        // The leaders of other shards in this process receive no status message of this controller, so they get the load here.
         sharding?.loadReported(shard, load)
         return load
     }
@@ -38,9 +38,9 @@
     override fun cancellationsReceived(
         peer: String,
         page: CancellationPage,
-        askedAtMs: Long,
+        sentAtMs: Long,
     ) {
-        cancellationWatermark.answered(peer, page, askedAtMs, loop.nowMs())
+        cancellationWatermark.answered(peer, page, sentAtMs, loop.nowMs())
         for (leader in elections.leaders) page.ids.forEach { leader.scheduler.cancellationConfirmedByPeer(it, loop.nowMs()) }
     }
 }
--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -14,13 +14,13 @@
 import mintfield.io.store.StoreClient
 import java.nio.channels.AsynchronousChannelGroup
 
-/** The clients of this controller for the state service, the cloud and the workers, with the paces that are permitted. */
+/** The clients of this controller for the state service, the cloud and the workers, with their rate limits. */
 class ExternalServices(
     val settings: Settings,
     private val loop: EventLoop,
     private val group: AsynchronousChannelGroup,
 ) {
-    /** Controllers that may call the cloud at the same time: all of them, where each leads a shard. */
+    /** Number of controllers that share the rate limit of the cloud: one leader without sharding, all controllers with it. */
     private val cloudCallers = if (settings.operator.sharding == null) 1 else settings.peers.size + 1
 
     val store =
@@ -36,32 +36,32 @@
         )
     val metrics = Metrics()
 
-    /** What the state service permits now, as far as this controller knows. */
+    /** The limits of the state service that this controller currently assumes. */
     val stateLimits = StateLimitsInForce(settings)
 
-    /** The machine types, by name; empty until they have been read. */
+    /** The machine types, by name. Empty until [readTypes] has succeeded once. */
     val types = LinkedHashMap<String, MachineType>()
     private val workers = WorkerClients(ConnectionLimits(settings).keptToWorkers) { HttpClient(loop, group, it, maxIdle = 1) }
 
-    /** Asks the cloud for the machine types, once; [types] stays as it is if that fails. */
+    /** Reads the machine types from the cloud into [types], which stays unchanged if the call fails. Does not retry. */
     suspend fun readTypes() {
         (cloud.types() as? CloudResult.Ok)?.value?.forEach { types[it.name] = it }
     }
 
-    /** A client for a configured [address] that keeps up to [maxIdle] connections. */
+    /** Creates a client for the configured [address] that keeps up to [maxIdle] idle connections. Throws if [address] cannot be parsed. */
     fun client(
         address: String,
         maxIdle: Int,
     ) = HttpClient(loop, group, requireNotNull(parseAddress(address)), maxIdle)
 
-    /** The client for the worker at [address]; null if that is not an address. */
-    fun worker(address: String): HttpClient? = workers.at(address)
+    /** The pooled client for the worker at [address]; null if [address] cannot be parsed. */
+    fun worker(address: String): HttpClient? = workers.clientFor(address)
 
     private companion object {
         const val STORE_CONNECTIONS = 6
         const val STORE_WATCH_CONNECTIONS = 2
 
-        /** The part of the permitted requests per second that one controller uses. */
+        /** Fraction of the permitted requests per second that one controller uses. */
         const val STORE_RATE_FRACTION = 0.45
     }
 }
--- a/src/main/kotlin/mintfield/app/Main.kt
+++ b/src/main/kotlin/mintfield/app/Main.kt
@@ -17,19 +17,19 @@
 
 private const val VERSION = "mintfield 0.1.0"
 
-/** The ending of the name of an operators' file. */
-private const val OPERATOR_FILE_ENDING = ".hcl"
+/** File name extension of the operators' file. */
+private const val OPERATOR_FILE_EXTENSION = ".hcl"
 
-/** Entry point of the command line. */
+/** Runs the command that [args] name and exits with its exit code. */
 fun main(args: Array<String>) {
     val invocation = ArgumentParser.parse(args)
     val exitCode =
         try {
             run(invocation)
         } catch (e: SettingsFault) {
-            badUsage(e.message ?: "the settings cannot be used")
+            badUsage(e.message ?: "invalid settings")
         }
-    // A controller that was stopped ends with its last thread.
+    // After a controller was stopped the process ends with its last thread, without exitProcess.
     if (invocation !is Invocation.Serve || exitCode != ExitCode.DONE) exitProcess(exitCode.number)
 }
 
@@ -55,7 +55,7 @@
     return ExitCode.BAD_USAGE
 }
 
-/** Runs a controller; does not return before it is stopped. */
+/** Runs a controller and blocks until it is stopped. */
 private fun serve(files: SettingsFiles) {
     val settings = files.read()
     Log.json = settings.operator.logFormat == LogFormat.JSON
@@ -63,7 +63,7 @@
 }
 
 private fun check(path: String) {
-    if (path.endsWith(OPERATOR_FILE_ENDING)) OperatorFile.read(path) else SettingsFile.read(path)
+    if (path.endsWith(OPERATOR_FILE_EXTENSION)) OperatorFile.read(path) else SettingsFile.read(path)
     println("$path: good")
 }
 
--- a/src/main/kotlin/mintfield/app/Metrics.kt
+++ b/src/main/kotlin/mintfield/app/Metrics.kt
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram
 
-/** How long requests and commits take, in milliseconds, for the summary in the log. Each summary starts anew. */
+/** Histograms of the durations of requests and commits, in milliseconds, for the summary in the log. Each summary resets them. */
 class Metrics {
     private class Series(
         val name: String,
@@ -14,21 +14,21 @@
     private val polls = Series("poll")
     private val commits = Series("commit")
 
-    /** A submission was answered after [ms]. */
-    fun accepted(ms: Long) = record(accepts, ms)
+    /** Records the time from the arrival of a submission to its response. */
+    fun recordSubmission(ms: Long) = record(accepts, ms)
 
-    /** A question about a job's state was answered after [ms]. */
-    fun polled(ms: Long) = record(polls, ms)
+    /** Records the time from the arrival of a query for the state of a job to its response. */
+    fun recordQuery(ms: Long) = record(polls, ms)
 
-    /** A commit was settled after [ms], by an answer or the lack of one. */
-    fun committed(ms: Long) = record(commits, ms)
+    /** Records the time from the sending of a commit to its response or timeout. */
+    fun recordCommit(ms: Long) = record(commits, ms)
 
     private fun record(
         series: Series,
         ms: Long,
     ) = series.histogram.recordValue(ms.coerceIn(1, MAX_RECORDED_MS))
 
-    /** Since the last summary: `accept n=3 p50=12 p99=40 max=40 ms, ...`; empty if nothing was recorded. */
+    /** Formats the durations since the last summary as `accept n=3 p50=12 p99=40 max=40 ms, ...`, or as an empty string without any, and resets them. */
     fun takeSummary(): String =
         listOf(accepts, polls, commits).filter { it.histogram.totalCount > 0 }.joinToString(", ") { series ->
             val histogram = series.histogram
@@ -43,10 +43,10 @@
         const val MEDIAN = 50.0
         const val TAIL = 99.0
 
-        /** Milliseconds; whatever takes longer counts as this. */
+        /** Upper bound of the recorded durations. Longer ones are recorded as this value. */
         const val MAX_RECORDED_MS = 60_000L
 
-        /** Two keep a histogram at a few kilobytes. */
+        /** Significant decimal digits of a recorded value. Two digits keep a histogram at a few kilobytes. */
         const val SIGNIFICANT_DIGITS = 2
     }
 }
--- a/src/main/kotlin/mintfield/app/PeerRequests.kt
+++ b/src/main/kotlin/mintfield/app/PeerRequests.kt
@@ -11,7 +11,7 @@
 import mintfield.core.ownership.ShardLoad
 import mintfield.io.http.HttpMessage
 
-/** Passes the messages of peers to the components of this controller that they concern. */
+/** Dispatches the messages of peers to the components of this controller. */
 internal class PeerRequests(
     private val elections: LeaderElections,
     private val routes: ClientRoutes,
@@ -36,7 +36,7 @@
         term: Long,
     ) = elections.peerLeads(peer, shard, term)
 
-    override fun peerRuns(
+    override fun peerGenerationAnnounced(
         peer: String,
         generation: Int,
     ) = versions.announced(peer, generation)
--- a/src/main/kotlin/mintfield/app/Readiness.kt
+++ b/src/main/kotlin/mintfield/app/Readiness.kt
@@ -4,14 +4,14 @@
 import mintfield.app.replica.JobReplicator
 import mintfield.io.loop.EventLoop
 
-/** Whether the load balancer should send users to this controller. */
+/** Determines whether the load balancer should route users to this controller. */
 class Readiness(
     private val loop: EventLoop,
     private val replicator: JobReplicator,
     private val services: ExternalServices,
     private val health: PeerHealth,
 ) {
-    /** Ready, or the reason why not; [text] is what the load balancer is told. */
+    /** Whether this controller is ready, or the reason why it is not. [text] is the reason in the response to the load balancer. */
     enum class State(
         val text: String,
     ) {
@@ -21,7 +21,7 @@
         CUT_OFF("cut off from the state service and the other controllers"),
     }
 
-    /** The state at this moment. */
+    /** The current state. */
     fun state(): State {
         val isolation = health.isolation
         return when {
--- a/src/main/kotlin/mintfield/app/WorkerClients.kt
+++ b/src/main/kotlin/mintfield/app/WorkerClients.kt
@@ -4,15 +4,15 @@
 import mintfield.io.http.parseAddress
 import java.net.InetSocketAddress
 
-/** The HTTP clients for workers, each of which keeps one connection. With more than [capacity] the least recently used is closed. */
+/** An LRU cache of HTTP clients for workers, by address. The least recently used client beyond [capacity] is removed and its idle connection closed. */
 internal class WorkerClients(
     private val capacity: Int,
     private val connect: (InetSocketAddress) -> HttpClient,
 ) {
     private val clients = LinkedHashMap<String, HttpClient>(INITIAL_CAPACITY, LOAD_FACTOR, true)
 
-    /** The client for the worker at [address]; null if that is not an address. */
-    fun at(address: String): HttpClient? {
+    /** The client for the worker at [address], created on first use; null if [address] cannot be parsed. */
+    fun clientFor(address: String): HttpClient? {
         clients[address]?.let { return it }
         val client = connect(parseAddress(address) ?: return null)
         clients[address] = client
--- a/src/main/kotlin/mintfield/app/api/ClientRoutes.kt
+++ b/src/main/kotlin/mintfield/app/api/ClientRoutes.kt
@@ -11,7 +11,7 @@
 import mintfield.io.json.Json
 import mintfield.io.loop.EventLoop
 
-/** Routes the requests of the client port, which users, workers and the load balancer share. */
+/** Routes the requests on the client port, which serves users, workers and the load balancer. */
 class ClientRoutes(
     private val loop: EventLoop,
     private val heartbeats: HeartbeatEndpoint,
@@ -19,34 +19,34 @@
     private val relay: PeerRelay,
     private val readiness: Readiness,
     private val metrics: Metrics,
-    /** Whether few sockets are left, so that workers should not keep their connections. */
+    /** Whether so few sockets are free that workers must not keep their connections open. */
     private val isShortOfSockets: () -> Boolean,
 ) {
-    /** Answers a request that came straight from its client. */
+    /** Responds to a request that was received on the client port. */
     suspend fun receive(request: HttpMessage): Response {
         val path = request.path
         return when {
-            path == HEARTBEAT_PATH -> only("POST", request) { closingWhenShortOfSockets(heartbeats.receive(request.body)) }
-            path == READY_PATH -> only("GET", request) { ready() }
+            path == HEARTBEAT_PATH -> allowOnly("POST", request) { closingIfShortOfSockets(heartbeats.receive(request.body)) }
+            path == READY_PATH -> allowOnly("GET", request) { ready() }
             path.startsWith(JOBS_PATH) -> relay.userRequest(request) ?: userRequest(request)
             else -> noSuchPath()
         }
     }
 
-    /** Answers a user's request here, whether it came straight from the user or by way of a peer. */
+    /** Responds to a user's request without relaying it, whether it was received from the user or relayed by a peer. */
     suspend fun userRequest(request: HttpMessage): Response {
         val path = request.path
         return when {
-            path == JOBS_PATH -> only("POST", request) { timed(metrics::accepted) { users.submit(request) } }
+            path == JOBS_PATH -> allowOnly("POST", request) { timed(metrics::recordSubmission) { users.submit(request) } }
             path.startsWith(JOB_PATH) && path.endsWith(ABORT_SUFFIX) ->
-                only("POST", request) { users.abort(path.substring(JOB_PATH.length, path.length - ABORT_SUFFIX.length)) }
-            path.startsWith(JOB_PATH) -> only("GET", request) { timed(metrics::polled) { users.poll(path.substring(JOB_PATH.length)) } }
+                allowOnly("POST", request) { users.abort(path.substring(JOB_PATH.length, path.length - ABORT_SUFFIX.length)) }
+            path.startsWith(JOB_PATH) -> allowOnly("GET", request) { timed(metrics::recordQuery) { users.poll(path.substring(JOB_PATH.length)) } }
             else -> noSuchPath()
         }
     }
 
-    /** With few sockets left a worker's connection is closed after its answer, so that there is room for the next worker. */
-    private fun closingWhenShortOfSockets(response: Response): Response = if (isShortOfSockets()) response.closing() else response
+    /** Marks a response to a worker to close its connection if few sockets are free, so that another worker can connect. */
+    private fun closingIfShortOfSockets(response: Response): Response = if (isShortOfSockets()) response.closing() else response
 
     private fun ready(): Response {
         val state = readiness.state()
@@ -62,14 +62,14 @@
         return action().also { record(loop.nowMs() - startedAtMs) }
     }
 
-    private inline fun only(
+    private inline fun allowOnly(
         method: String,
         request: HttpMessage,
         action: () -> Response,
     ): Response {
         if (request.method == method) return action()
-        val plain = Response.error(HttpStatus.METHOD_NOT_ALLOWED, "only $method is served here")
-        return Response(HttpStatus.METHOD_NOT_ALLOWED, plain.body, allow = method)
+        val error = Response.error(HttpStatus.METHOD_NOT_ALLOWED, "only $method is served here")
+        return Response(HttpStatus.METHOD_NOT_ALLOWED, error.body, allow = method)
     }
 
     private fun noSuchPath() = Response.error(HttpStatus.NOT_FOUND, "no such path")
--- a/src/main/kotlin/mintfield/app/api/JobAdmission.kt
+++ b/src/main/kotlin/mintfield/app/api/JobAdmission.kt
@@ -7,21 +7,21 @@
 import mintfield.core.model.compatibleMachineTypes
 import mintfield.io.worker.JobFields
 
-/** Checks whether a submitted job can ever run. */
+/** Checks whether a submitted job can ever run, regardless of the current load. */
 class JobAdmission(
     private val teams: List<Team>,
-    /** The machine types; empty while they are not known. */
+    /** Returns the machine types; empty while they are not known. */
     private val types: () -> Collection<MachineType>,
 ) {
     /** The result of a check. */
     sealed interface Result {
-        /** The job can run, on machines of [compatibleTypes]. */
-        class Possible(
+        /** The job can run on machines of [compatibleTypes]. */
+        class Feasible(
             val compatibleTypes: List<String>,
         ) : Result
 
-        /** The job can never run, for the [reason] given. */
-        class Impossible(
+        /** The job can never run, because of [reason]. */
+        class Infeasible(
             val reason: String,
         ) : Result
 
@@ -29,34 +29,34 @@
         data object TypesUnknown : Result
     }
 
-    /** Checks the team, the machine types and the team's ceiling. */
+    /** Checks [spec] against the known teams, the machine types and the limits of its team. */
     fun check(spec: JobSpec): Result {
         val known = types()
         if (known.isEmpty()) return Result.TypesUnknown
         val compatibleTypes = compatibleMachineTypes(spec, known)
-        val reason = obstacle(spec, compatibleTypes)
-        return if (reason == null) Result.Possible(compatibleTypes) else Result.Impossible(reason)
+        val reason = infeasibilityReason(spec, compatibleTypes)
+        return if (reason == null) Result.Feasible(compatibleTypes) else Result.Infeasible(reason)
     }
 
-    private fun obstacle(
+    private fun infeasibilityReason(
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): String? {
         val team = teams.firstOrNull { it.name == spec.team }
-        // A gang or a service needs all of its tasks at once.
-        val atOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
+        // A gang or a service runs all of its tasks at the same time.
+        val concurrentTasks = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
         return when {
             team == null -> "${JobFields.TEAM}: unknown team ${spec.team}"
             compatibleTypes.isEmpty() -> "a task fits no allowed machine type"
-            exceeds(spec.cpus * atOnce, team.cpusMax) -> "more CPUs than the limit of ${team.name}"
-            exceeds(spec.gpus * atOnce, team.gpusMax) -> "more cards than the limit of ${team.name}"
+            exceeds(spec.cpus * concurrentTasks, team.cpusMax) -> "more CPUs than the limit of ${team.name}"
+            exceeds(spec.gpus * concurrentTasks, team.gpusMax) -> "more cards than the limit of ${team.name}"
             else -> null
         }
     }
 
-    /** Whether [demand] is above [ceiling], where 0 means that there is none. */
+    /** Whether [demand] is above [limit]. A limit of 0 means unlimited. */
     private fun exceeds(
         demand: Double,
-        ceiling: Double,
-    ) = ceiling > 0 && demand > ceiling
+        limit: Double,
+    ) = limit > 0 && demand > limit
 }
--- /dev/null
+++ b/src/main/kotlin/mintfield/app/api/JobLookup.kt
@@ -0,0 +1,17 @@
+package mintfield.app.api
+
+import mintfield.core.jobs.KnownJob
+
+/** The result of the lookup of a job. */
+sealed interface JobLookup {
+    /** The job was accepted. */
+    class Found(
+        val job: KnownJob,
+    ) : JobLookup
+
+    /** At some moment after the start of the lookup no job with this id had been accepted. */
+    data object NotFound : JobLookup
+
+    /** The store, or a read that the lookup requires, is unavailable. */
+    data object Unavailable : JobLookup
+}
--- a/src/main/kotlin/mintfield/app/api/JobProgressView.kt
+++ b/src/main/kotlin/mintfield/app/api/JobProgressView.kt
@@ -5,14 +5,14 @@
 import mintfield.core.jobs.AttemptState
 import mintfield.core.jobs.Job
 
-/** The progress of unfinished jobs as this controller shows it to users: from its own leaders, else from what leading peers report. */
+/** The progress of unfinished jobs for responses to users, from the leaders in this process or else from the status messages of peers. */
 class JobProgressView(
     private val elections: LeaderElections,
     private val peers: PeerProgressTable,
-    /** Whether machines are shared, so that peers lead some of the jobs even while this controller leads others. */
+    /** Whether machines are shared, in which case peers lead some of the jobs even while this controller leads others. */
     private val sharded: Boolean,
 ) {
-    /** The progress of job [id]; null if neither this controller nor a peer knows it. */
+    /** The progress of job [id]; null if it is known neither here nor from a peer. */
     fun of(id: String): Progress? {
         val leaders = elections.leaders
         for (leader in leaders) {
@@ -22,7 +22,7 @@
         return if (leaders.isEmpty() || sharded) peers[id] else null
     }
 
-    /** The progress of all jobs that are led here, by job id. */
+    /** The progress of all jobs whose leader runs in this process, by job id. */
     fun ofLedJobs(): Map<String, Progress> {
         val progress = LinkedHashMap<String, Progress>()
         for (leader in elections.leaders) {
--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -16,47 +16,47 @@
 import mintfield.io.worker.JobStatusCodec
 
 /**
- * Makes the responses that tell users the state of a job. They are linearizable: each gives the state at a moment after its request
- * came, whichever controllers have answered before, and a final state never changes. Runs on the event loop.
+ * Creates the responses to users that contain the state of a job. They are linearizable: each contains the state at a moment after the
+ * arrival of its request, whichever controllers have responded before, and a final state never changes. Must be used on the event loop only.
  */
 class JobStatusService(
     private val store: StoreClient,
     private val replicator: JobReplicator,
-    /** The progress of a job by its id; null if it is not known here. */
+    /** Returns the progress of a job by its id; null if it is not known here. */
     private val progress: (String) -> Progress?,
-    /** Called with the id of a job before a user is told that it is cancelled. */
+    /** Called with the id of a job before its cancellation is confirmed to a user. */
     private val onCancellationConfirmed: (String) -> Unit,
-    /** Whether the store has not been reached for a while, so that asking it would only make the user wait. */
-    private val cutOff: () -> Boolean,
+    /** Whether recent calls to the store got no response. User requests are then refused at once instead of waiting for a timeout. */
+    private val isStoreUnreachable: () -> Boolean,
 ) {
-    /** The state of job [id]; the response of [otherwise] if it was never accepted. */
-    suspend inline fun existingOr(
+    /** The response with the state of job [id]; the response of [otherwise] if the job was never accepted. */
+    suspend inline fun stateOrElse(
         id: String,
         otherwise: () -> Response,
     ): Response =
         when (val found = lookUp(id)) {
-            is Lookup.Found -> answer(id, found.job)
-            Lookup.NotFound -> otherwise()
-            Lookup.Unavailable -> storeUnavailable()
+            is JobLookup.Found -> stateOf(id, found.job)
+            JobLookup.NotFound -> otherwise()
+            JobLookup.Unavailable -> storeUnavailable()
         }
 
-    /** Looks job [id] up, as it is in the store at a moment after this call. A cached final state is as good, since it never changes. */
-    suspend fun lookUp(id: String): Lookup {
+    /** Looks up job [id] as of a moment after this call. A cached final state is used without reading the store, since it never changes. */
+    suspend fun lookUp(id: String): JobLookup {
         val cached = replicator.known(id) as? KnownJob.Ended
-        return if (cached == null) lookUpCurrent(id) else Lookup.Found(cached)
+        return if (cached == null) lookUpCurrent(id) else JobLookup.Found(cached)
     }
 
-    private suspend fun lookUpCurrent(id: String): Lookup {
-        if (cutOff() || !replicator.current() || !replicator.resolveBefore(id)) return Lookup.Unavailable
+    private suspend fun lookUpCurrent(id: String): JobLookup {
+        if (isStoreUnreachable() || !replicator.current() || !replicator.resolveBefore(id)) return JobLookup.Unavailable
         val known = replicator.known(id)
-        if (known is KnownJob.Ended || known is KnownJob.Live) return Lookup.Found(known)
-        // Of a job without a readable record only its final state, which may be long past, can tell more.
-        val read = store.get(Keys.final(id)) as? StoreResult.Ok ?: return Lookup.Unavailable
+        if (known is KnownJob.Ended || known is KnownJob.Live) return JobLookup.Found(known)
+        // Without a readable live record the job may have ended long ago, so its final state is read.
+        val read = store.get(Keys.final(id)) as? StoreResult.Ok ?: return JobLookup.Unavailable
         val recorded = read.value?.let { finalState(id, it) } ?: replicator.known(id)
-        return if (recorded == null) Lookup.NotFound else Lookup.Found(recorded)
+        return if (recorded == null) JobLookup.NotFound else JobLookup.Found(recorded)
     }
 
-    /** The job whose final state is in [entry]. If that cannot be read the job is neither done nor cancelled, but it was accepted. */
+    /** Decodes the final state in [entry]. If it cannot be decoded the job counts as accepted, but neither as done nor as cancelled. */
     private fun finalState(
         id: String,
         entry: Entry,
@@ -67,23 +67,24 @@
                 KnownJob.Ended(decoded.value)
             }
             is Decoded.Invalid -> {
-                Log.error("$id: its final state of revision ${entry.revision} cannot be read; it is kept and the job called pending")
+                Log.error("job $id: cannot decode final state of revision ${entry.revision}; record kept, job reported as pending")
                 KnownJob.Unreadable
             }
         }
 
-    /** The response to a submission that was accepted just now; the job may have been cancelled or ended before that was known here. */
+    /** The response to a submission whose write was just applied. The job may have been cancelled or ended before the write result arrived. */
     fun accepted(id: String): Response {
         val known = replicator.known(id)
         val ended = known is KnownJob.Ended || known is KnownJob.Live && isCancelled(known)
-        return if (ended) answer(id, known) else unfinished(id, HttpStatus.CREATED)
+        return if (ended) stateOf(id, known) else unfinished(id, HttpStatus.CREATED)
     }
 
     /**
-     * The only function that puts a job's state into a response. [known] must have been read since the request came, and nothing may
-     * suspend between that reading and this call; a final state that has become known since then takes precedence.
+     * The response with the state of job [id]. All responses with the state of a job that existed before the request are created here.
+     * [known] must have been read after the arrival of the request, without a suspension between the read and this call. A final state
+     * that has become known since the read takes precedence.
      */
-    fun answer(
+    fun stateOf(
         id: String,
         known: KnownJob,
     ): Response =
@@ -94,10 +95,10 @@
             KnownJob.Unreadable -> unfinished(id, HttpStatus.OK)
         }
 
-    /** Whether a job is cancelled, by its own user or with a job that it depends on, whether or not its record says so yet. */
+    /** Whether a job is cancelled, by its user or because a job that it depends on is cancelled, even if its record does not state it yet. */
     fun isCancelled(known: KnownJob.Live) = known.job.cancelled || replicator.dependencies.isCancelledByDependency(known.job.spec.id)
 
-    /** The response to a submission that was accepted and at once cancelled, as a job that it depends on is cancelled. */
+    /** The response to a submission that was accepted and immediately cancelled, because a job that it depends on is cancelled. */
     fun acceptedAsCancelled(id: String): Response = response(id, JobPhase.CANCELLED, doneTasks = 0, HttpStatus.CREATED)
 
     private fun unfinished(
@@ -108,7 +109,7 @@
         return response(id, phase, doneTasks(id), status)
     }
 
-    /** Number of tasks of job [id] that are done, for display. */
+    /** Number of done tasks of job [id], for display; 0 if its progress is not known here. */
     fun doneTasks(id: String) = progress(id)?.done ?: 0
 
     private fun runningTasks(id: String) = progress(id)?.running ?: 0
@@ -124,9 +125,9 @@
         return Response(status, JobStatusCodec.encode(id, phase, doneTasks, if (ended) 0 else runningTasks(id)))
     }
 
-    /** A refusal that asks the user to try again later. */
+    /** A 503 response for [reason], with a delay after which the user should retry. */
     fun busy(reason: String) = Response.error(HttpStatus.SERVICE_UNAVAILABLE, reason, UserApiConstants.RETRY_AFTER_S)
 
-    /** A refusal as the store, without which no state can be confirmed, does not respond. */
+    /** The response while the store, which is required to confirm a state, cannot be read. */
     fun storeUnavailable() = busy("the state service cannot be asked now")
 }
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -24,110 +24,114 @@
 import mintfield.io.worker.JobFields
 
 /**
- * Submissions of jobs, which are idempotent: each is checked and, unless the job is known already, recorded as accepted. Runs on the
- * event loop.
+ * Handles submissions of jobs: checks each one and records the job as accepted unless it was accepted before. Submissions are idempotent.
+ * Must be used on the event loop only.
  */
 class JobSubmissionService(
     private val admission: JobAdmission,
     private val replicator: JobReplicator,
-    private val answers: JobStatusService,
-    private val changes: UserWriteBatcher,
+    private val statuses: JobStatusService,
+    private val userWrites: UserWriteBatcher,
     private val predecessors: PredecessorLookup,
     private val versions: VersionRecords,
     private val limits: StateLimitsInForce,
-    /** Whether the store has not been reached for a while, so that asking it would only make the user wait. */
-    private val cutOff: () -> Boolean,
+    /** Whether recent calls to the store got no response. Submissions are then refused at once instead of waiting for a timeout. */
+    private val isStoreUnreachable: () -> Boolean,
 ) {
-    /** The submissions in progress, by job; each completes when it has ended, with whatever result. */
+    /** The submissions in progress, by job id. Each entry completes when its submission has ended, with any result. */
     private val inProgress = HashMap<String, CompletableDeferred<Unit>>()
 
-    /** Accepts a job, or gives the state of one that was accepted before. */
+    /** Accepts the job in [request], or responds with its state if it was accepted before. */
     suspend fun submit(request: HttpMessage): Response =
         when (val parsed = JobCodec.parse(Json.parseObject(request.body))) {
             is JobCodec.Parsed.Invalid -> refuseInvalid(parsed)
             is JobCodec.Parsed.Valid -> submit(parsed.spec)
         }
 
-    /** An invalid request that names a job which was accepted before gets that job's state all the same. */
+    /** Refuses an invalid request, unless it names a job that was accepted before: the response is then the state of that job. */
     private suspend fun refuseInvalid(invalid: JobCodec.Parsed.Invalid): Response {
         val refusal = Response.error(HttpStatus.BAD_REQUEST, invalid.reason)
-        return if (invalid.id == null) refusal else answers.existingOr(invalid.id) { refusal }
+        return if (invalid.id == null) refusal else statuses.stateOrElse(invalid.id) { refusal }
     }
 
     private suspend fun submit(spec: JobSpec): Response {
         val earlier = inProgress[spec.id]
-        return if (earlier == null) submitAlone(spec) else submitAfter(earlier, spec)
+        return if (earlier == null) submitExclusively(spec) else submitAfter(earlier, spec)
     }
 
     /**
-     * A submission that comes while another one of the same job is in progress. It must not share that one's response, which may rest
-     * on what was true before this request came: another controller may have reported since that the job is done or cancelled. So the
-     * job is looked up anew, now and again once the other one has ended.
+     * Handles a submission that arrives while an [earlier] one of the same job is in progress. It must not share the response of the
+     * earlier one, which may contain a state read before this request arrived: another controller may have confirmed to a user since then
+     * that the job is done or cancelled. The job is therefore looked up now, and again after the end of the earlier submission.
      */
     private suspend fun submitAfter(
         earlier: CompletableDeferred<Unit>,
         spec: JobSpec,
     ): Response =
-        answers.existingOr(spec.id) {
+        statuses.stateOrElse(spec.id) {
             earlier.await()
-            answers.existingOr(spec.id) { if (spec.id in inProgress) answers.busy("it is being submitted") else submitAlone(spec) }
+            statuses.stateOrElse(spec.id) { if (spec.id in inProgress) statuses.busy("it is being submitted") else submitExclusively(spec) }
         }
 
-    /** One submission of a job at a time, since one transaction must not write a key twice. */
-    private suspend fun submitAlone(spec: JobSpec): Response {
-        val ended = CompletableDeferred<Unit>()
-        inProgress[spec.id] = ended
+    /** Handles a submission while no other one of the same job is in progress, since one transaction must not write a key twice. */
+    private suspend fun submitExclusively(spec: JobSpec): Response {
+        val completion = CompletableDeferred<Unit>()
+        inProgress[spec.id] = completion
         try {
             val response = checkAndAccept(spec)
-            if (response.status >= HttpStatus.FIRST_ERROR) Log.info("submission of ${spec.id} answered ${response.status}: ${String(response.body)}")
+            if (response.status >=
+                HttpStatus.FIRST_ERROR
+            ) {
+                Log.info("job ${spec.id}: submission refused with status ${response.status}: ${String(response.body)}")
+            }
             return response
         } finally {
             inProgress.remove(spec.id)
-            ended.complete(Unit)
+            completion.complete(Unit)
         }
     }
 
     private suspend fun checkAndAccept(spec: JobSpec): Response {
-        (replicator.known(spec.id) as? KnownJob.Ended)?.let { return answers.answer(spec.id, it) }
+        (replicator.known(spec.id) as? KnownJob.Ended)?.let { return statuses.stateOf(spec.id, it) }
         return when (val result = admission.check(spec)) {
-            JobAdmission.Result.TypesUnknown -> answers.existingOr(spec.id) { answers.busy("the machine types are not known yet") }
-            is JobAdmission.Result.Impossible -> refuseImpossible(spec.id, result.reason)
-            is JobAdmission.Result.Possible -> acceptIfOpen(spec, result.compatibleTypes)
+            JobAdmission.Result.TypesUnknown -> statuses.stateOrElse(spec.id) { statuses.busy("the machine types are not known yet") }
+            is JobAdmission.Result.Infeasible -> refuseInfeasible(spec.id, result.reason)
+            is JobAdmission.Result.Feasible -> acceptIfAvailable(spec, result.compatibleTypes)
         }
     }
 
-    private suspend fun refuseImpossible(
+    private suspend fun refuseInfeasible(
         id: String,
         reason: String,
-    ): Response = answers.existingOr(id) { Response.error(HttpStatus.UNPROCESSABLE_CONTENT, reason) }
+    ): Response = statuses.stateOrElse(id) { Response.error(HttpStatus.UNPROCESSABLE_CONTENT, reason) }
 
-    private suspend fun acceptIfOpen(
+    private suspend fun acceptIfAvailable(
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): Response =
         when {
-            cutOff() -> answers.busy("the state service cannot be reached from here")
-            !changes.hasRoom -> answers.busy("too many submissions are waiting")
+            isStoreUnreachable() -> statuses.busy("the state service cannot be reached from here")
+            !userWrites.hasCapacity -> statuses.busy("too many submissions are waiting")
             spec.predecessors.isEmpty() -> accept(spec, compatibleTypes)
             else -> acceptDependent(spec, compatibleTypes)
         }
 
-    /** A job that depends on others. If it is known already, its state does not depend on what has become of those since. */
+    /** Accepts a job with predecessors. If the job was accepted before, the response does not depend on the present state of its predecessors. */
     private suspend fun acceptDependent(
         spec: JobSpec,
         compatibleTypes: List<String>,
     ): Response {
-        if (!versions.allHave(Generation.DEPENDENCIES)) return answers.existingOr(spec.id) { answers.busy("a controller still runs an earlier version") }
+        if (!versions.allRun(Generation.DEPENDENCIES)) return statuses.stateOrElse(spec.id) { statuses.busy("a controller still runs an earlier version") }
         return when (val found = predecessors.find(spec.predecessors)) {
-            is Predecessors.NeverAccepted -> refuseImpossible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} was never accepted")
-            is Predecessors.Service -> refuseImpossible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} is a service, which is never done")
-            Predecessors.Unavailable -> answers.storeUnavailable()
+            is Predecessors.NeverAccepted -> refuseInfeasible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} was never accepted")
+            is Predecessors.Service -> refuseInfeasible(spec.id, "${JobFields.PREDECESSORS}: ${found.id} is a service, which is never done")
+            Predecessors.Unavailable -> statuses.storeUnavailable()
             is Predecessors.Accepted ->
                 if (found.cancelled) acceptCancelled(spec.id) else accept(spec.copy(predecessors = found.unfinished), compatibleTypes)
         }
     }
 
-    /** Records that a job is accepted, unless it was accepted before. */
+    /** Records a job as accepted, unless it was accepted before. */
     private suspend fun accept(
         spec: JobSpec,
         compatibleTypes: List<String>,
@@ -135,17 +139,17 @@
         val job = AcceptedJob(spec, revision = 0, System.currentTimeMillis(), cancelled = false, compatibleTypes)
         val record = JobRecordCodec.encode(job)
         if (record.size > limits.lowest.valueBytes) {
-            return answers.existingOr(spec.id) { Response.error(HttpStatus.BAD_REQUEST, "the description is too long") }
+            return statuses.stateOrElse(spec.id) { Response.error(HttpStatus.BAD_REQUEST, "the description is too long") }
         }
-        return write(spec.id, KeyWrite.Put(Keys.live(spec.id), record)) { answers.accepted(spec.id) }
+        return write(spec.id, KeyWrite.Put(Keys.live(spec.id), record)) { statuses.accepted(spec.id) }
     }
 
-    /** Records that a job is accepted and, as one that it depends on is cancelled, cancelled. */
+    /** Records a job as accepted and cancelled, because a job that it depends on is cancelled. */
     private suspend fun acceptCancelled(id: String): Response {
         val cancelled = FinalState(JobPhase.CANCELLED, tasks = 0, System.currentTimeMillis())
         return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
             replicator.ended(id, cancelled)
-            answers.acceptedAsCancelled(id)
+            statuses.acceptedAsCancelled(id)
         }
     }
 
@@ -155,11 +159,11 @@
         applied: () -> Response,
     ): Response {
         val preconditions = listOf(Precondition(Keys.live(id), 0), Precondition(Keys.final(id), 0))
-        return when (changes.write(preconditions, listOf(record))) {
+        return when (userWrites.write(preconditions, listOf(record))) {
             WriteResult.APPLIED -> applied()
-            WriteResult.CONFLICT -> answers.existingOr(id) { answers.busy("try again") }
-            WriteResult.REFUSED -> answers.busy("the state service does not take it now")
-            WriteResult.UNKNOWN -> answers.existingOr(id) { answers.busy("not known yet whether it was accepted") }
+            WriteResult.CONFLICT -> statuses.stateOrElse(id) { statuses.busy("try again") }
+            WriteResult.REFUSED -> statuses.busy("the state service does not take it now")
+            WriteResult.UNKNOWN -> statuses.stateOrElse(id) { statuses.busy("not known yet whether it was accepted") }
         }
     }
 }
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -10,28 +10,28 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.worker.JobCodec
 
-/** Looks up the predecessors that a submission names. Runs on the event loop. */
+/** Looks up the predecessors that a submission names. Must be used on the event loop only. */
 class PredecessorLookup(
     private val store: StoreClient,
     private val replicator: JobReplicator,
 ) {
-    /** What is known of [ids]. That a job was accepted stays true, so the replica need not be current unless it lacks one of them. */
+    /** Classifies the jobs [ids]. An accepted job remains accepted, so the replica must be brought up to date only if it lacks one of them. */
     suspend fun find(ids: List<String>): Predecessors {
         val malformed = ids.firstOrNull { !JobCodec.isId(it) }
         return when {
             malformed != null -> Predecessors.NeverAccepted(malformed)
-            !bringIn(ids) -> Predecessors.Unavailable
+            !loadAll(ids) -> Predecessors.Unavailable
             else -> classify(ids)
         }
     }
 
-    /** Makes the replica know [ids], as far as they were accepted; false if the store cannot be asked. */
-    private suspend fun bringIn(ids: List<String>): Boolean {
+    /** Loads those of the jobs [ids] that were accepted into the replica; false if the store cannot be read. */
+    private suspend fun loadAll(ids: List<String>): Boolean {
         if (ids.any { replicator.known(it) == null } && !replicator.current()) return false
         return ids.all { replicator.known(it) != null || readFinalState(it) }
     }
 
-    /** Reads the final state of a job that the current replica does not hold; false without a response. */
+    /** Loads the final state of a job that the up-to-date replica does not contain, if it has one; false without a response from the store. */
     private suspend fun readFinalState(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
         found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }?.let { replicator.ended(id, it) }
--- a/src/main/kotlin/mintfield/app/api/Predecessors.kt
+++ b/src/main/kotlin/mintfield/app/api/Predecessors.kt
@@ -1,25 +1,25 @@
 package mintfield.app.api
 
-/** What is known of the jobs that a submission names as its predecessors. */
+/** The result of the lookup of the jobs that a submission names as its predecessors. */
 sealed interface Predecessors {
-    /** All were accepted. */
+    /** All predecessors were accepted. */
     class Accepted(
-        /** Those that are not known to be done. */
+        /** The ids of the predecessors that are not known to be done. */
         val unfinished: List<String>,
-        /** Whether any of them is known to be cancelled. */
+        /** Whether at least one predecessor is known to be cancelled. */
         val cancelled: Boolean,
     ) : Predecessors
 
-    /** At some moment since the lookup began, [id] had not been accepted. */
+    /** At some moment after the start of the lookup the job [id] had not been accepted. */
     class NeverAccepted(
         val id: String,
     ) : Predecessors
 
-    /** [id] is a service, which is never done. */
+    /** The predecessor [id] is a service. A service is never done, so no job may depend on one. */
     class Service(
         val id: String,
     ) : Predecessors
 
-    /** The store cannot be asked. */
+    /** The store cannot be read. */
     data object Unavailable : Predecessors
 }
--- a/src/main/kotlin/mintfield/app/api/Progress.kt
+++ b/src/main/kotlin/mintfield/app/api/Progress.kt
@@ -2,8 +2,8 @@
 
 /** The progress of a job, for display. */
 class Progress(
-    /** Number of its tasks that are done. */
+    /** Number of done tasks. */
     val done: Int,
-    /** Number of its tasks that run. */
+    /** Number of running tasks. */
     val running: Int,
 )
--- a/src/main/kotlin/mintfield/app/api/UserApi.kt
+++ b/src/main/kotlin/mintfield/app/api/UserApi.kt
@@ -16,37 +16,37 @@
 import mintfield.io.store.Precondition
 import mintfield.io.worker.JobCodec
 
-/** The requests of users. Any controller serves them, from the store and by guarded writes to it. Runs on the event loop. */
+/** Handles the requests of users. Every controller can do so, with reads and conditional writes of the store. Must be used on the event loop only. */
 class UserApi(
-    private val answers: JobStatusService,
+    private val statuses: JobStatusService,
     private val submissions: JobSubmissionService,
     private val replicator: JobReplicator,
-    private val changes: UserWriteBatcher,
+    private val userWrites: UserWriteBatcher,
     private val limits: StateLimitsInForce,
 ) {
-    /** Accepts a job, or gives the state of one that was accepted before. */
+    /** Accepts the job in [request], or responds with its state if it was accepted before. */
     suspend fun submit(request: HttpMessage): Response = submissions.submit(request)
 
-    /** Gives the state of job [id]. */
-    suspend fun poll(id: String): Response = if (JobCodec.isId(id)) answers.existingOr(id) { notFound() } else notFound()
+    /** Responds with the state of job [id]. */
+    suspend fun poll(id: String): Response = if (JobCodec.isId(id)) statuses.stateOrElse(id) { notFound() } else notFound()
 
     private fun notFound() = Response.error(HttpStatus.NOT_FOUND, "no such job")
 
-    /** Cancels job [id], unless it has ended. */
+    /** Cancels job [id] unless it has ended, and responds with its state. */
     suspend fun abort(id: String): Response {
         if (!JobCodec.isId(id)) return notFound()
         repeat(ABORT_ATTEMPTS) {
             tryAbort(id)?.let { return it }
         }
-        return answers.busy("try again")
+        return statuses.busy("try again")
     }
 
-    /** Cancels job [id] as it is now; null if that must be tried again. */
+    /** Tries once to cancel job [id]; null if the caller should retry. */
     private suspend fun tryAbort(id: String): Response? =
-        when (val lookup = answers.lookUp(id)) {
-            is Lookup.Found -> abort(id, lookup.job)
-            Lookup.NotFound -> notFound()
-            Lookup.Unavailable -> answers.storeUnavailable()
+        when (val lookup = statuses.lookUp(id)) {
+            is JobLookup.Found -> abort(id, lookup.job)
+            JobLookup.NotFound -> notFound()
+            JobLookup.Unavailable -> statuses.storeUnavailable()
         }
 
     private suspend fun abort(
@@ -54,27 +54,27 @@
         known: KnownJob,
     ): Response? =
         when (known) {
-            is KnownJob.Ended -> answers.answer(id, known)
-            is KnownJob.Live -> if (answers.isCancelled(known)) answers.answer(id, known) else cancel(known.job)
-            KnownJob.Unreadable -> answers.busy("what is recorded of it cannot be read")
+            is KnownJob.Ended -> statuses.stateOf(id, known)
+            is KnownJob.Live -> if (statuses.isCancelled(known)) statuses.stateOf(id, known) else cancel(known.job)
+            KnownJob.Unreadable -> statuses.busy("what is recorded of it cannot be read")
         }
 
-    /** Records that [job] is cancelled; null if it has changed meanwhile or it is not known whether the record was written. */
+    /** Records [job] as cancelled; null if its record has changed since it was read, or if it is unknown whether the write was applied. */
     private suspend fun cancel(job: AcceptedJob): Response? {
         val id = job.spec.id
-        val cancelled = FinalState(JobPhase.CANCELLED, answers.doneTasks(id), System.currentTimeMillis())
+        val cancelled = FinalState(JobPhase.CANCELLED, statuses.doneTasks(id), System.currentTimeMillis())
         val preconditions = listOf(Precondition(Keys.live(id), job.revision), Precondition(Keys.final(id), 0))
         val writes =
             listOf(
                 KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled)),
                 KeyWrite.Put(Keys.live(id), JobRecordCodec.encodeCancelled(job, limits.lowest.valueBytes)),
             )
-        return when (changes.write(preconditions, writes)) {
+        return when (userWrites.write(preconditions, writes)) {
             WriteResult.APPLIED -> {
                 replicator.ended(id, cancelled)
-                answers.answer(id, KnownJob.Ended(cancelled))
+                statuses.stateOf(id, KnownJob.Ended(cancelled))
             }
-            WriteResult.REFUSED -> answers.busy("the state service does not take it now")
+            WriteResult.REFUSED -> statuses.busy("the state service does not take it now")
             WriteResult.CONFLICT, WriteResult.UNKNOWN -> null
         }
     }
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -18,8 +18,9 @@
 import mintfield.io.store.TxnOutcome
 
 /**
- * Writes the changes that users request. Changes that wait at the same moment share a transaction, whose size adapts to what the store
- * accepts: it is halved when the store refuses writes as too many, and doubled after each success. Runs on the event loop.
+ * Writes the changes that users request to the store, with several queued changes in one transaction. The maximum size of a transaction
+ * adapts to the store: it is halved when the store refuses a transaction because of its rate limit, and doubled after each success. Must be
+ * used on the event loop only.
  */
 class UserWriteBatcher(
     private val loop: EventLoop,
@@ -27,7 +28,7 @@
     private val store: StoreClient,
     private val limits: StateLimitsInForce,
 ) {
-    /** A change that waits for its result. */
+    /** A queued or sent change without a result. */
     private class Change(
         val preconditions: List<Precondition>,
         val writes: List<KeyWrite>,
@@ -35,11 +36,11 @@
     ) {
         val result = CompletableDeferred<WriteResult>()
 
-        /** About what it takes of the size of a transaction. */
+        /** Estimated size in a transaction. */
         val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD_BYTES * (preconditions.size + writes.size)
     }
 
-    /** The changes that one transaction is to carry out. */
+    /** The changes of one transaction. */
     private class Batch(
         private val maxOps: Int,
     ) {
@@ -48,8 +49,8 @@
         private var ops = 0
         private var bytes = 0
 
-        /** Whether [change] can be added. A transaction that writes a key twice, as two users cancel the same job, is malformed. */
-        fun hasRoomFor(change: Change): Boolean {
+        /** Whether [change] can be added. A transaction is malformed if it writes a key twice, for example when two users cancel the same job. */
+        fun hasCapacityFor(change: Change): Boolean {
             val withinLimits = ops + change.writes.size <= maxOps && bytes + change.bytes <= StoreConstants.MAX_TXN_BYTES
             return (withinLimits || changes.isEmpty()) && change.writes.none { it.key in keys }
         }
@@ -65,28 +66,28 @@
     private val queue = ArrayDeque<Change>()
     private var activeWriters = 0
 
-    /** Puts and deletes that a transaction may have at present. */
+    /** Current maximum number of puts and deletes in a transaction. */
     private var maxOps = limits.current.txnOps
 
-    /** The limits that the rate and [maxOps] are set for. */
-    private var pacedFor = limits.current
-    private val rateLimiter = RateLimiter(loop, pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
+    /** The limits from which the rate limit and [maxOps] were last set. */
+    private var appliedLimits = limits.current
+    private val rateLimiter = RateLimiter(loop, appliedLimits.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, appliedLimits.txnOps.toDouble())
 
-    /** Called when the store refuses changes as too many, so that the leader leaves room for them. */
+    /** Called when the store refuses changes because of its rate limit, so that the leader leaves write capacity for them. */
     var onCongestion: () -> Unit = {}
 
-    /** Whether changes wait for the store. */
+    /** Whether changes are queued, or the transaction size is still reduced after a refusal. */
     val congested: Boolean get() = queue.isNotEmpty() || maxOps < limits.current.txnOps
 
-    /** Whether a further change can be queued; if not, it would wait too long. */
-    val hasRoom: Boolean get() = queue.size < UserApiConstants.MAX_WAITING_CHANGES
+    /** Whether the queue has capacity for another change. The queue is bounded since a change at its end would wait too long. */
+    val hasCapacity: Boolean get() = queue.size < UserApiConstants.MAX_WAITING_CHANGES
 
-    /** Carries out [writes] atomically if all [preconditions] hold. Suspends until the result is known, or given up. */
+    /** Applies [writes] atomically if all [preconditions] hold. Suspends until the result is known, or is [WriteResult.UNKNOWN] for lack of a response. */
     suspend fun write(
         preconditions: List<Precondition>,
         writes: List<KeyWrite>,
     ): WriteResult {
-        if (!hasRoom) return WriteResult.REFUSED
+        if (!hasCapacity) return WriteResult.REFUSED
         val change = Change(preconditions, writes, loop.nowMs())
         queue.addLast(change)
         if (activeWriters < UserApiConstants.MAX_CONCURRENT_CHANGES) launchWriter()
@@ -107,109 +108,115 @@
     private suspend fun writeQueue() {
         while (queue.isNotEmpty()) {
             val batch = takeBatch()
-            adoptLimits()
+            applyLimitsInForce()
             rateLimiter.acquire(batch.sumOf { it.writes.size }.toDouble())
             try {
-                carryOut(batch)
+                sendAll(batch)
             } catch (e: IllegalStateException) {
-                // Nobody may wait for a result that never comes. A malformed transaction was not executed.
-                Log.error("changes of users failed: ${e.message}")
-                finish(batch, WriteResult.REFUSED)
+                // Each change needs a result, or its caller would wait forever. A malformed transaction was not executed.
+                Log.error("user writes: transaction failed: ${e.message}")
+                completeAll(batch, WriteResult.REFUSED)
             }
         }
     }
 
-    /** Follows the limits in force, which may have become lower by what another part of this controller met. */
-    private fun adoptLimits() {
-        if (pacedFor == limits.current) return
-        pacedFor = limits.current
-        maxOps = minOf(maxOps, pacedFor.txnOps)
-        rateLimiter.limit(pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
+    /** Applies the limits in force, which another component of this controller may have lowered after a refusal by the store. */
+    private fun applyLimitsInForce() {
+        if (appliedLimits == limits.current) return
+        appliedLimits = limits.current
+        maxOps = minOf(maxOps, appliedLimits.txnOps)
+        rateLimiter.limit(appliedLimits.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, appliedLimits.txnOps.toDouble())
     }
 
     private fun takeBatch(): List<Change> {
-        adoptLimits()
+        applyLimitsInForce()
         val batch = Batch(maxOps)
-        while (queue.isNotEmpty() && batch.hasRoomFor(queue.first())) batch.add(queue.removeFirst())
+        while (queue.isNotEmpty() && batch.hasCapacityFor(queue.first())) batch.add(queue.removeFirst())
         return batch.changes
     }
 
-    private suspend fun carryOut(changes: List<Change>) {
+    private suspend fun sendAll(changes: List<Change>) {
         var remaining = changes
-        while (remaining.isNotEmpty()) remaining = carryOutOnce(remaining)
+        while (remaining.isNotEmpty()) remaining = sendOnce(remaining)
     }
 
-    /** Sends [batch] in one transaction; returns the changes of it that are to be sent again at once. */
-    private suspend fun carryOutOnce(batch: List<Change>): List<Change> {
-        val usedFor = limits.current
+    /** Sends [batch] in one transaction and returns those of its changes that must be sent again at once. */
+    private suspend fun sendOnce(batch: List<Change>): List<Change> {
+        val limitsWhenSent = limits.current
         return when (val result = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
-            is StoreResult.Ok -> settle(batch, usedFor, result.value)
-            is StoreResult.Refused -> if (result.rateLimited) backOff(batch) else finish(batch, WriteResult.REFUSED)
+            is StoreResult.Ok -> handleOutcome(batch, limitsWhenSent, result.value)
+            is StoreResult.Refused -> if (result.rateLimited) backOff(batch) else completeAll(batch, WriteResult.REFUSED)
             is StoreResult.Unknown -> {
-                Log.info("no answer to ${batch.size} changes of users: ${result.reason}")
-                finish(batch, WriteResult.UNKNOWN)
+                Log.info("user writes: no response to a transaction of ${batch.size} changes: ${result.reason}")
+                completeAll(batch, WriteResult.UNKNOWN)
             }
         }
     }
 
-    private fun settle(
+    private fun handleOutcome(
         batch: List<Change>,
-        usedFor: StateLimits,
+        limitsWhenSent: StateLimits,
         outcome: TxnOutcome,
     ): List<Change> =
         when (outcome) {
             is TxnOutcome.Applied -> {
                 maxOps = minOf(limits.current.txnOps, maxOps * 2)
-                finish(batch, WriteResult.APPLIED)
+                completeAll(batch, WriteResult.APPLIED)
             }
-            is TxnOutcome.Failed -> withoutConflicts(batch, outcome)
-            is TxnOutcome.Malformed -> smaller(batch, usedFor, outcome)
-            TxnOutcome.LeaseGone -> finish(batch, WriteResult.REFUSED)
+            is TxnOutcome.Failed -> completeConflicts(batch, outcome)
+            is TxnOutcome.Malformed -> handleMalformed(batch, limitsWhenSent, outcome)
+            TxnOutcome.LeaseGone -> completeAll(batch, WriteResult.REFUSED)
         }
 
-    /** The changes of [batch] whose preconditions hold: a conflict of one must not fail the others. */
-    private fun withoutConflicts(
+    /** Completes the changes of [batch] whose preconditions failed and returns the others, which a conflict must not fail. */
+    private fun completeConflicts(
         batch: List<Change>,
         outcome: TxnOutcome.Failed,
     ): List<Change> {
         val failedKeys = outcome.keys.toSet()
         val (conflicting, others) = batch.partition { change -> change.preconditions.any { it.key in failedKeys } }
-        if (conflicting.isEmpty()) return finish(batch, WriteResult.REFUSED)
-        finish(conflicting, WriteResult.CONFLICT)
+        if (conflicting.isEmpty()) return completeAll(batch, WriteResult.REFUSED)
+        completeAll(conflicting, WriteResult.CONFLICT)
         return others
     }
 
-    /** The changes of [batch] that still have time, as many as a transaction of half the size takes, after a pause. */
+    /**
+     * Halves the maximum transaction size and refuses the changes of [batch] that have waited longer than [UserApiConstants.CHANGE_TIMEOUT_MS].
+     * Returns those of the others that fit in one transaction, after a delay.
+     */
     private suspend fun backOff(batch: List<Change>): List<Change> {
         val (expired, others) = batch.partition { loop.nowMs() - it.queuedAtMs > UserApiConstants.CHANGE_TIMEOUT_MS }
-        finish(expired, WriteResult.REFUSED)
+        completeAll(expired, WriteResult.REFUSED)
         onCongestion()
         maxOps = maxOf(UserApiConstants.MIN_CHANGE_OPS, maxOps / 2)
-        val remaining = putBackExcess(others)
+        val remaining = requeueExcess(others)
         if (remaining.isNotEmpty()) delay(StoreConstants.STORE_RETRY_MS)
         return remaining
     }
 
-    /** What of a [batch] that was called malformed to send next: as much as the limits in force permit, or one change alone. */
-    private fun smaller(
+    /**
+     * Handles a [batch] that the store refused as malformed. Returns the changes to send next: as many as the lowered limits permit, or one
+     * change if the limits were not lowered.
+     */
+    private fun handleMalformed(
         batch: List<Change>,
-        usedFor: StateLimits,
+        limitsWhenSent: StateLimits,
         outcome: TxnOutcome.Malformed,
     ): List<Change> {
         val first = batch.first()
-        if (limits.refused(usedFor)) {
-            adoptLimits()
+        if (limits.refused(limitsWhenSent)) {
+            applyLimitsInForce()
         } else if (batch.size > 1) {
             maxOps = first.writes.size
         } else {
-            Log.error("the state service calls a change of ${first.writes.first().key} malformed: ${outcome.reason}")
-            return finish(batch, WriteResult.REFUSED)
+            Log.error("user writes: state service refused a change of ${first.writes.first().key} as malformed: ${outcome.reason}")
+            return completeAll(batch, WriteResult.REFUSED)
         }
-        return putBackExcess(batch)
+        return requeueExcess(batch)
     }
 
-    /** Returns as many of [batch] as a transaction may have at present, at least one; the others are first in the queue again. */
-    private fun putBackExcess(batch: List<Change>): List<Change> {
+    /** Returns the first changes of [batch] that fit in a transaction, at least one, and puts the others back at the head of the queue. */
+    private fun requeueExcess(batch: List<Change>): List<Change> {
         var ops = 0
         val kept =
             batch.takeWhile { change ->
@@ -221,8 +228,8 @@
         return kept
     }
 
-    /** Gives [batch] its result; nothing of it remains to be sent. */
-    private fun finish(
+    /** Completes all changes of [batch] with [result]. Returns an empty list, as no change has to be sent again. */
+    private fun completeAll(
         batch: List<Change>,
         result: WriteResult,
     ): List<Change> {
--- a/src/main/kotlin/mintfield/app/api/WriteResult.kt
+++ b/src/main/kotlin/mintfield/app/api/WriteResult.kt
@@ -1,16 +1,16 @@
 package mintfield.app.api
 
-/** The result of writing a user's change. */
+/** The result of the write of a user's change. */
 enum class WriteResult {
-    /** It was written. */
+    /** The change was written. */
     APPLIED,
 
-    /** A precondition did not hold: nothing was written. */
+    /** A precondition failed and nothing was written. */
     CONFLICT,
 
-    /** The store did not accept it: nothing was written, and the user should try again later. */
+    /** The change was not accepted by the queue or the store. Nothing was written, and the user should retry later. */
     REFUSED,
 
-    /** The store did not answer: it may be written or not, now or later. */
+    /** The store did not respond. It is unknown whether the change was written, and it may still be written later. */
     UNKNOWN,
 }
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -61,7 +61,7 @@
         pacer.take(transaction.keyWrites.size)
         val sentAtMs = loop.nowMs()
         val result = commitResult(store.txn(transaction.preconditions, transaction.keyWrites, urgent = true), transaction)
-        services.metrics.committed(loop.nowMs() - sentAtMs)
+        services.metrics.recordCommit(loop.nowMs() - sentAtMs)
         scheduler.committed(Commit(wanted.term, transaction.taken), result, loop.nowMs())
         if (result is CommitResult.Done) transaction.taken.forEach(::reportEnd)
     }
--- a/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
+++ b/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
@@ -5,27 +5,27 @@
 import mintfield.core.leadership.CancellationPage
 import mintfield.core.ownership.ShardLoad
 
-/** What a controller reports to its peers about itself in each status message, and where their responses go. */
+/** The source of the contents of the status messages to the peers, and the receiver of the cancellations in their responses. */
 interface LocalStatus {
-    /** The terms that this controller leads with, by shard. The name of the only leadership, where there are no shards, is empty. */
+    /** The terms of the leaders in this process, by shard name. Without sharding the name of the single leadership is the empty string. */
     fun leadingTerms(): Map<String, Long>
 
-    /** The progress of the jobs that are led here, by job id. */
+    /** The progress of the jobs whose leader runs in this process, by job id. */
     fun progressOfLedJobs(): Map<String, Progress>
 
-    /** Whether writes of users queue up here for the state service. */
+    /** Whether users' writes to the state service queue up at this controller. */
     fun isCongested(): Boolean
 
-    /** The load of [shard]; null if it is not led here, or not known yet. */
+    /** The load of [shard]; null if its leader does not run in this process or its load is not known yet. */
     fun loadOf(shard: String): ShardLoad?
 
-    /** The incarnation of [peer]'s cancellation log that was last read here, and how many of its entries were read. */
+    /** The position up to which this controller has read [peer]'s cancellation log. */
     fun cancellationsRead(peer: String): CancellationLogPosition
 
-    /** [peer], asked at [askedAtMs], has responded with these cancellations, which it has confirmed to users. */
+    /** Handles a [page] of the cancellations that [peer] has confirmed to users, from its response to a status message sent at [sentAtMs]. */
     fun cancellationsReceived(
         peer: String,
         page: CancellationPage,
-        askedAtMs: Long,
+        sentAtMs: Long,
     )
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerHealth.kt
@@ -1,36 +1,37 @@
 package mintfield.app.peer
 
+import mintfield.core.constants.PeerConstants
 import mintfield.core.leadership.Isolation
 import mintfield.core.leadership.PeerFailureDetector
 import mintfield.core.leadership.StoreConnectivity
 import mintfield.io.store.StoreClient
 
-/** Which peers can be reached from this controller, and whether the state service serves it, at the time of [nowMs]. */
+/** Tracks which peers are reachable from this controller and whether the state service serves it. [nowMs] reads the steady clock. */
 class PeerHealth(
     private val nowMs: () -> Long,
 ) {
     private val failureDetector = PeerFailureDetector(nowMs())
     private val store = StoreConnectivity()
 
-    /** What this controller may not do while it is cut off. */
+    /** Decisions that depend on whether this controller is partitioned from the state service and its peers. */
     val isolation = Isolation(store, failureDetector)
 
     /** Whether the state service served the last call. */
     val isStoreServing: Boolean get() = store.served
 
-    /** Whether the state service has not served this controller for a while: it refuses, or there is no answer. */
+    /** Whether the state service has refused all calls or left them unanswered for [PeerConstants.STORE_UNAVAILABLE_MS]. */
     fun isStoreUnavailable(): Boolean = store.unservedForLong(nowMs())
 
-    /** Whether nothing at all has come from the state service for a while, not even a refusal. */
+    /** Whether the state service has left all calls unanswered, without even a refusal, for [PeerConstants.STORE_UNAVAILABLE_MS]. */
     fun isStoreUnreachable(): Boolean = store.unreachableForLong(nowMs())
 
-    /** Whether [peer] has been silent for longer than a restart takes. */
+    /** Whether no status of [peer] has arrived for longer than a restart takes. */
     fun isUnreachable(peer: String): Boolean = failureDetector.isUnreachable(peer, nowMs())
 
     /** Whether [peer] has sent a status recently. */
     fun isReachable(peer: String): Boolean = failureDetector.isReachable(peer, nowMs())
 
-    /** Whether [peer] has sent a status recently, and the state service served it then. */
+    /** Whether [peer] has sent a status recently and was served by the state service at that time. */
     fun isUpAndServed(peer: String): Boolean = failureDetector.isServed(peer, nowMs())
 
     /** A reachable peer other than [leader]; null if there is none. */
@@ -39,13 +40,13 @@
     /** A reachable peer that the state service serves; null if there is none. */
     fun servedPeer(): String? = failureDetector.servedPeer(nowMs())
 
-    /** A status of [peer] has arrived. */
+    /** Records the arrival of a status of [peer]. [storeServes]: the state service serves that peer. */
     fun statusReceived(
         peer: String,
         storeServes: Boolean,
     ) = failureDetector.recordContact(peer, storeServes, nowMs())
 
-    /** [peer] has refused a connection: its machine is up, its controller is not. */
+    /** Records that [peer] refused a connection, which means that its machine is up and its controller is down. */
     fun connectionRefused(peer: String) = failureDetector.refused(peer, nowMs())
 
     /** Records the outcome of a call to the state service. */
--- a/src/main/kotlin/mintfield/app/peer/PeerPaths.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerPaths.kt
@@ -1,6 +1,6 @@
 package mintfield.app.peer
 
-/** The paths that controllers call at each other, all with `POST`. */
+/** The HTTP paths of the peer port, all served with `POST`. */
 internal object PeerPaths {
     const val STATUS = "/peer"
     const val HEARTBEAT = "/relay"
--- a/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -5,7 +5,7 @@
 import mintfield.io.peer.JobProgress
 import mintfield.io.peer.PeerStatus
 
-/** The progress of the jobs of one leading peer, from its status messages. */
+/** The progress of the jobs that one peer leads, from its status messages. */
 class PeerProgress {
     private class Observed(
         val progress: Progress,
@@ -14,8 +14,11 @@
 
     private var jobs = LinkedHashMap<String, Observed>()
 
-    /** Takes in the [page] of a status message; the peer has [total] jobs in all. */
-    fun take(
+    /**
+     * Stores the [page] of a status message of a peer that leads [total] jobs. A page with all jobs replaces the previous entries; otherwise
+     * entries expire after [PeerConstants.PROGRESS_TIMEOUT_MS].
+     */
+    fun update(
         page: List<JobProgress>,
         total: Int,
         nowMs: Long,
@@ -29,19 +32,19 @@
         while (oldest.hasNext() && nowMs - oldest.next().atMs > PeerConstants.PROGRESS_TIMEOUT_MS) oldest.remove()
     }
 
-    /** The latest progress of job [id]; null if the peer has not reported it recently. */
+    /** The latest progress of job [id]; null without a recent entry. */
     operator fun get(id: String): Progress? = jobs[id]?.progress
 }
 
-/** The progress of the jobs of all leading peers. */
+/** The progress of the jobs of all peers that are leaders. */
 class PeerProgressTable(
     private val nowMs: () -> Long,
 ) {
     private val byPeer = HashMap<String, PeerProgress>()
 
-    /** Takes in the [status] of a leading peer. */
-    fun received(status: PeerStatus) = byPeer.getOrPut(status.member) { PeerProgress() }.take(status.progress, status.jobs, nowMs())
+    /** Stores the progress in the [status] of a peer that is a leader. */
+    fun update(status: PeerStatus) = byPeer.getOrPut(status.member) { PeerProgress() }.update(status.progress, status.jobs, nowMs())
 
-    /** The latest progress of job [id] at any peer; null if none has reported it recently. */
+    /** The latest progress of job [id] at any peer; null without a recent entry. */
     operator fun get(id: String): Progress? = byPeer.values.firstNotNullOfOrNull { it[id] }
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -21,8 +21,8 @@
 import mintfield.io.peer.decodeOrNull
 
 /**
- * Calls to the peers on behalf of others: passes on heartbeats and user requests that have to be answered there, and the leaders'
- * questions about foreign tasks. The number of relayed requests under way to one peer is bounded; further ones wait their turn.
+ * Relays heartbeats and user requests to peers, and sends them the leaders' queries about foreign tasks. The number of relayed requests in
+ * flight to one peer is bounded; further ones queue.
  */
 @OptIn(ExperimentalSerializationApi::class)
 class PeerRelay(
@@ -31,36 +31,36 @@
     services: ExternalServices,
     private val health: PeerHealth,
 ) {
-    private val lanesPerPeer = ConnectionLimits(settings).relayLanes
-    private val lanes = settings.peers.associate { it.member to Semaphore(lanesPerPeer) }
-    private val lastAnswerAtMs = HashMap<String, Long>()
+    private val maxRelaysPerPeer = ConnectionLimits(settings).relayLanes
+    private val relayPermits = settings.peers.associate { it.member to Semaphore(maxRelaysPerPeer) }
+    private val lastResponseAtMs = HashMap<String, Long>()
 
     /** The client for each peer, by the peer's name. */
     internal val clients: Map<String, HttpClient> =
-        settings.peers.associate { it.member to services.client(it.address, maxIdle = lanesPerPeer + SPARE_CONNECTIONS) }
+        settings.peers.associate { it.member to services.client(it.address, maxIdle = maxRelaysPerPeer + SPARE_CONNECTIONS) }
 
-    /** Passes a worker's heartbeat on to [leader]; null if there is no answer in time. */
+    /** Relays a worker's heartbeat to [leader]; null without a response within [PeerConstants.RELAY_TIMEOUT_MS]. */
     suspend fun heartbeat(
         leader: String,
         body: ByteArray,
     ): RelayAnswer? {
         val client = clients[leader] ?: return null
         val bytes = ProtoBuf.encodeToByteArray(RelayedHeartbeat.serializer(), RelayedHeartbeat(settings.member, body))
-        return passOn(leader, client, PeerPaths.HEARTBEAT, bytes, PeerConstants.RELAY_TIMEOUT_MS)
+        return relay(leader, client, PeerPaths.HEARTBEAT, bytes, PeerConstants.RELAY_TIMEOUT_MS)
     }
 
     /**
-     * Whether [leader] answers but all lanes to it are taken: a heartbeat that has to wait for one would time out, though the leader
-     * would have answered the worker itself.
+     * Whether [leader] is responsive but the limit of relayed requests to it is reached. A further heartbeat would time out in the queue
+     * although the leader would respond to the worker directly.
      */
     fun isCongested(leader: String): Boolean {
-        val lane = lanes[leader] ?: return false
-        return lane.availablePermits == 0 && lastAnswerAtMs[leader]?.let { loop.nowMs() - it < PeerConstants.RELAY_RESPONSIVE_MS } ?: false
+        val permits = relayPermits[leader] ?: return false
+        return permits.availablePermits == 0 && lastResponseAtMs[leader]?.let { loop.nowMs() - it < PeerConstants.RELAY_RESPONSIVE_MS } ?: false
     }
 
     /**
-     * While the state service does not serve this controller: the answer to a user's [request] by a peer that it serves. Null if
-     * it serves this controller, or no peer answers. Sent away instead, the user would come back over the same connection.
+     * Relays a user's [request] to a peer that the state service serves, and returns its response. Null if the state service serves this
+     * controller, or no peer responds. The request is relayed rather than refused, since the user would retry over the same connection.
      */
     suspend fun userRequest(request: HttpMessage): Response? {
         if (health.isStoreServing) return null
@@ -68,11 +68,11 @@
         val client = clients[peer] ?: return null
         val relayed = RelayedRequest(request.method, request.path, request.body)
         val bytes = ProtoBuf.encodeToByteArray(RelayedRequest.serializer(), relayed)
-        val answer = passOn(peer, client, PeerPaths.USER_REQUEST, bytes, PeerConstants.PEER_TIMEOUT_MS) ?: return null
-        return Response(answer.status, answer.body, answer.retryAfterS.takeIf { it > 0 })
+        val response = relay(peer, client, PeerPaths.USER_REQUEST, bytes, PeerConstants.PEER_TIMEOUT_MS) ?: return null
+        return Response(response.status, response.body, response.retryAfterS.takeIf { it > 0 })
     }
 
-    /** Asks a leader at [peer] about tasks on its machines; null if there is no answer, or it does not lead that shard. */
+    /** Queries a leader at [peer] about tasks on its machines; null without a response, or if the peer does not lead that shard. */
     suspend fun queryForeignTasks(
         peer: String,
         body: ByteArray,
@@ -81,22 +81,22 @@
         return (reply as? Reply.Answer)?.takeIf { it.status == HttpStatus.OK }?.body
     }
 
-    /** Sends [bytes] once one of the lanes to [peer] is free; null without an answer within [timeoutMs], the wait included. */
-    private suspend fun passOn(
+    /** Sends [bytes] once the limit of relayed requests to [peer] permits; null without a response within [timeoutMs], queueing included. */
+    private suspend fun relay(
         peer: String,
         client: HttpClient,
         path: String,
         bytes: ByteArray,
         timeoutMs: Long,
     ): RelayAnswer? {
-        val reply = withTimeoutOrNull(timeoutMs) { lanes.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
+        val reply = withTimeoutOrNull(timeoutMs) { relayPermits.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return null
-        lastAnswerAtMs[peer] = loop.nowMs()
+        lastResponseAtMs[peer] = loop.nowMs()
         return decodeOrNull(RelayAnswer.serializer(), reply.body)
     }
 
     private companion object {
-        /** Connections to a peer that are kept besides one for each lane: for status messages and foreign tasks. */
+        /** Idle connections to a peer that are kept for status messages and foreign task queries, in addition to one per relayed request. */
         const val SPARE_CONNECTIONS = 2
     }
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerRequestHandler.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRequestHandler.kt
@@ -4,46 +4,46 @@
 import mintfield.core.ownership.ShardLoad
 import mintfield.io.http.Response
 
-/** What a controller does with the messages that its peers send it. */
+/** Handles the messages of peers. */
 interface PeerRequestHandler {
-    /** Writes of users queue up at a peer for the state service. */
+    /** Handles the notice of a peer that users' writes to the state service queue up there. */
     fun peerCongested()
 
-    /** A peer's leader of [shard] reports its load. */
+    /** Handles the [load] reported by a peer that leads [shard]. */
     fun peerLoad(
         shard: String,
         load: ShardLoad,
     )
 
-    /** [peer] leads [shard] with [term]; the name of the only leadership, where there are no shards, is empty. */
+    /** Handles the notice that [peer] leads [shard] with [term]. Without sharding the name of the single leadership is the empty string. */
     fun peerLeads(
         peer: String,
         shard: String,
         term: Long,
     )
 
-    /** [peer] runs a program of this [generation]. */
-    fun peerRuns(
+    /** Handles the notice that [peer] runs a program of [generation]. */
+    fun peerGenerationAnnounced(
         peer: String,
         generation: Int,
     )
 
-    /** Answers encoded questions of a peer's leader about tasks on machines of a shard led here; null if it is not, or they are unreadable. */
+    /** Responds to encoded queries of a peer's leader about tasks on machines of a shard; null if they cannot be decoded or the shard is not led here. */
     fun foreignTasksQueried(body: ByteArray): ByteArray?
 
-    /** The cancellations confirmed here that a peer lacks which has read the log of [incarnation] up to entry [next]. */
+    /** The next page of the local cancellation log for a peer that has read the log of [incarnation] up to, and without, entry [next]. */
     fun cancellationsAfter(
         incarnation: Long,
         next: Long,
     ): CancellationPage
 
-    /** Answers a user's request that a peer has relayed. It is not relayed any further. */
+    /** Responds to a user's request that a peer has relayed, without relaying it again. */
     suspend fun relayedUserRequest(
         method: String,
         path: String,
         body: ByteArray,
     ): Response
 
-    /** Answers a heartbeat that a peer has relayed. It is not relayed any further. */
+    /** Responds to a heartbeat that a peer has relayed, without relaying it again. */
     suspend fun relayedHeartbeat(body: ByteArray): Response
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -13,14 +13,14 @@
 import mintfield.io.peer.RelayedRequest
 import mintfield.io.peer.decodeOrNull
 
-/** Serves the port for the other controllers: their status messages, relayed heartbeats and user requests, and foreign task queries. */
+/** Serves the peer port: status messages, relayed heartbeats, relayed user requests and foreign task queries. */
 @OptIn(ExperimentalSerializationApi::class)
 class PeerServer(
     private val health: PeerHealth,
     private val progress: PeerProgressTable,
     private val handler: PeerRequestHandler,
 ) {
-    /** Answers one request of a peer. */
+    /** Responds to one request of a peer. */
     suspend fun receive(request: HttpMessage): Response {
         val path = request.path
         if (path !in PATHS) return Response.error(HttpStatus.NOT_FOUND, "no such path")
@@ -53,7 +53,7 @@
     private fun status(body: ByteArray): Response {
         val status = decodeOrNull(PeerStatus.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a note")
         health.statusReceived(status.member, status.storeServes)
-        handler.peerRuns(status.member, status.generation)
+        handler.peerGenerationAnnounced(status.member, status.generation)
         if (status.congested) handler.peerCongested()
         if (status.leading) leaderStatus(status)
         val page = handler.cancellationsAfter(status.readIncarnation, status.readNext)
@@ -62,7 +62,7 @@
     }
 
     private fun leaderStatus(status: PeerStatus) {
-        progress.received(status)
+        progress.update(status)
         if (status.term > 0) handler.peerLeads(status.member, LeaderElections.ONLY, status.term)
         for (shardStatus in status.shards) {
             handler.peerLeads(status.member, shardStatus.shard, shardStatus.term)
--- a/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
@@ -20,7 +20,7 @@
 import mintfield.io.peer.ShardLeaderStatus
 import mintfield.io.peer.decodeOrNull
 
-/** Sends this controller's status to each peer, about once a second and when there is news. */
+/** Sends this controller's status to each peer, every [PeerConstants.PEER_STATUS_INTERVAL_MS] and on [announce]. */
 @OptIn(ExperimentalSerializationApi::class)
 class PeerStatusSender(
     private val loop: EventLoop,
@@ -32,7 +32,7 @@
 ) {
     private val progressPagers = settings.peers.associate { it.member to ProgressPager() }
 
-    /** Starts to send, in a coroutine for each peer. */
+    /** Starts one sending coroutine per peer. Call once. */
     fun start() {
         for ((peer, client) in relay.clients) {
             scope.launch(CoroutineName("status to $peer")) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Sends the status to all peers now, without waiting for the next second. */
+    /** Sends the status to all peers immediately, in addition to the periodic messages. */
     fun announce() {
         for ((peer, client) in relay.clients) scope.launch(CoroutineName("announcement to $peer")) { send(peer, client) }
     }
@@ -61,7 +61,7 @@
             val page = CancellationPage(response.incarnation, response.from, response.cancelled, response.total)
             local.cancellationsReceived(peer, page, sentAtMs)
         }
-        // No answer so early is a refused connection, not a timeout.
+        // A call that fails well before its timeout means a refused connection.
         if (reply is Reply.None && loop.nowMs() - sentAtMs < PeerConstants.PEER_TIMEOUT_MS / 2) health.connectionRefused(peer)
     }
 
--- a/src/main/kotlin/mintfield/app/peer/ProgressPager.kt
+++ b/src/main/kotlin/mintfield/app/peer/ProgressPager.kt
@@ -5,15 +5,15 @@
 import mintfield.io.peer.JobProgress
 
 /**
- * Pages through the progress of all jobs for the status messages to one peer. A message has room for [pageSize] jobs; with more of
- * them each message continues where the one before ended, so that every job is included in turn.
+ * Pages through the progress of all jobs for the status messages to one peer. A message holds up to [pageSize] jobs. With more jobs each
+ * message continues after the last job of the previous one, and after the last job of all from the first, so that each is included in turn.
  */
 class ProgressPager(
     private val pageSize: Int = PeerConstants.PROGRESS_PER_STATUS,
 ) {
     private var position = 0
 
-    /** The part of [progress] that the next message contains. */
+    /** Returns the entries of [progress] for the next message and advances the position. */
     fun next(progress: Map<String, Progress>): List<JobProgress> {
         if (position >= progress.size || progress.size <= pageSize) position = 0
         val page =
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -17,8 +17,8 @@
 import mintfield.io.store.TxnOutcome
 
 /**
- * Publishes this controller's generation in the store and finds out whether all controllers have the generation that something needs. The
- * store is read only while a generation is asked for that some are not known to have. Runs on the event loop.
+ * Records this controller's generation in the store and determines whether all controllers run a generation that a feature requires. The
+ * store is read only while some controller is not known to run the generation in question. Must be used on the event loop only.
  */
 class VersionRecords(
     private val settings: Settings,
@@ -28,13 +28,13 @@
     private val versions = ControllerVersions(settings.peers.map { it.member })
     private var readAtMs = NEVER
 
-    /** A peer status of the controller [member] names its [generation]. */
+    /** Handles the [generation] in a status message of the controller [member]. */
     fun announced(
         member: String,
         generation: Int,
     ) = versions.announced(member, generation)
 
-    /** Records the generation of this program in the store, unless it is there already; retries until that has succeeded. */
+    /** Records the generation of this program in the store unless it is recorded already, and retries until it has succeeded. */
     suspend fun record() {
         while (!tryRecord()) delay(UserApiConstants.VERSION_RETRY_MS)
     }
@@ -49,12 +49,12 @@
         return (result as? StoreResult.Ok)?.value is TxnOutcome.Applied
     }
 
-    /** Whether all controllers are known to run [generation] or a later one. May ask the store. */
-    suspend fun allHave(generation: Int): Boolean {
+    /** Whether all controllers are known to run [generation] or a later one. Reads the store if not, at most every [UserApiConstants.VERSION_RETRY_MS]. */
+    suspend fun allRun(generation: Int): Boolean {
         if (versions.lacking(generation).isEmpty()) return true
         if (loop.nowMs() - readAtMs >= UserApiConstants.VERSION_RETRY_MS) read()
         val lacking = versions.lacking(generation)
-        if (lacking.isNotEmpty()) Log.info("not known to run generation $generation: $lacking")
+        if (lacking.isNotEmpty()) Log.info("upgrade: generation $generation not confirmed by controllers $lacking")
         return lacking.isEmpty()
     }
 
@@ -68,7 +68,7 @@
     }
 
     private companion object {
-        /** Before any time of the event loop, and far enough from the smallest number that differences do not overflow. */
+        /** A time before any time of the event loop. Half of the minimum value, so that differences do not overflow. */
         const val NEVER = Long.MIN_VALUE / 2
     }
 }
