--- a/src/main/kotlin/mintfield/app/Metrics.kt
+++ b/src/main/kotlin/mintfield/app/Metrics.kt
@@ -20,7 +20,7 @@
     /** Records the time from the arrival of a query for the state of a job to its response. */
     fun recordQuery(ms: Long) = record(polls, ms)
 
-    /** Records the time from the sending of a commit to its response or timeout. */
+    /** Records the time from the sending of a commit to its response or failure. */
     fun recordCommit(ms: Long) = record(commits, ms)
 
     private fun record(
--- a/src/main/kotlin/mintfield/app/api/JobLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/JobLookup.kt
@@ -12,6 +12,6 @@
     /** At some moment after the start of the lookup no job with this id had been accepted. */
     data object NotFound : JobLookup
 
-    /** The store, or a read that the lookup requires, is unavailable. */
+    /** The store cannot be read. */
     data object Unavailable : JobLookup
 }
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -79,11 +79,7 @@
         inProgress[spec.id] = completion
         try {
             val response = checkAndAccept(spec)
-            if (response.status >=
-                HttpStatus.FIRST_ERROR
-            ) {
-                Log.info("job ${spec.id}: submission refused with status ${response.status}: ${String(response.body)}")
-            }
+            if (response.status >= HttpStatus.FIRST_ERROR) Log.info("job ${spec.id}: refused with ${response.status}: ${String(response.body)}")
             return response
         } finally {
             inProgress.remove(spec.id)
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -36,7 +36,7 @@
     ) {
         val result = CompletableDeferred<WriteResult>()
 
-        /** Estimated size in a transaction. */
+        /** Estimated size of the preconditions and writes in the JSON of a transaction. */
         val bytes = writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OVERHEAD_BYTES * (preconditions.size + writes.size)
     }
 
@@ -196,7 +196,7 @@
 
     /**
      * Handles a [batch] that the store refused as malformed. Returns the changes to send next: as many as the lowered limits permit, or one
-     * change if the limits were not lowered.
+     * change if the limits were not lowered. A change that was sent alone is refused.
      */
     private fun handleMalformed(
         batch: List<Change>,
--- a/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerProgress.kt
@@ -15,8 +15,8 @@
     private var jobs = LinkedHashMap<String, Observed>()
 
     /**
-     * Stores the [page] of a status message of a peer that leads [total] jobs. A page with all jobs replaces the previous entries; otherwise
-     * entries expire after [PeerConstants.PROGRESS_TIMEOUT_MS].
+     * Stores the [page] of a status message. [total] is the number of jobs that the peer leads, or 0 if the page holds all of them. A page with
+     * all jobs replaces the previous entries. Otherwise entries expire after [PeerConstants.PROGRESS_TIMEOUT_MS].
      */
     fun update(
         page: List<JobProgress>,
--- a/src/main/kotlin/mintfield/app/peer/ProgressPager.kt
+++ b/src/main/kotlin/mintfield/app/peer/ProgressPager.kt
@@ -5,8 +5,8 @@
 import mintfield.io.peer.JobProgress
 
 /**
- * Pages through the progress of all jobs for the status messages to one peer. A message holds up to [pageSize] jobs. With more jobs each
- * message continues after the last job of the previous one, and after the last job of all from the first, so that each is included in turn.
+ * Pages through the progress of all jobs for the status messages to one peer. A message holds up to [pageSize] jobs. With more jobs the
+ * messages cycle through them: each continues where the previous one ended.
  */
 class ProgressPager(
     private val pageSize: Int = PeerConstants.PROGRESS_PER_STATUS,
