--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -136,7 +136,7 @@
         replicator.onComplete = cancellationWatermark::viewed
         userWrites.onCongestion = elections::yieldToUsers
         sharding?.let { shared -> launch("assignments") { shared.assignments.follow() } }
-        elections.members.forEach { member -> launch("election ${member.shard?.name.orEmpty()}".trim()) { member.run() } }
+        elections.all.forEach { member -> launch("election ${member.shard?.name.orEmpty()}".trim()) { member.run() } }
         if (sharding != null) launch("shard transfers") { ShardTransfers(loop, elections, succession).run() }
         launch("initial reads") { readInitialState() }
         launch("store recovery") { detectStoreRecovery() }
@@ -167,7 +167,7 @@
      */
     private suspend fun serveClients() {
         val until = loop.nowMs() + LeadershipConstants.LISTEN_DELAY_WITHOUT_LEADER_MS
-        while (!elections.anyKnown && loop.nowMs() < until) delay(LeadershipConstants.LEADER_KNOWN_CHECK_MS)
+        while (!elections.isAnyLeaderKnown && loop.nowMs() < until) delay(LeadershipConstants.LEADER_KNOWN_CHECK_MS)
         clientServer.startWhenFree(address(settings.clientListen))
         Log.info("${settings.member} in ${settings.zone} serves ${settings.clientListen}")
     }
@@ -178,7 +178,7 @@
             services.readTypes()
             if (services.types.isEmpty()) delay(FleetConstants.CLOUD_RETRY_MS)
         }
-        while (!replicator.loaded) if (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
+        while (!replicator.loaded) if (!replicator.awaitCurrent()) delay(StoreConstants.STORE_RETRY_MS)
         versions.record()
     }
 
@@ -186,7 +186,7 @@
     private suspend fun detectStoreRecovery() {
         while (true) {
             delay(StoreConstants.STORE_RETRY_MS * 2)
-            if (health.isStoreUnavailable()) replicator.current()
+            if (health.isStoreUnavailable()) replicator.awaitCurrent()
         }
     }
 
--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -26,7 +26,7 @@
     override fun isCongested() = userWrites.congested
 
     override fun loadOf(shard: String): ShardLoad? {
-        val shardLeader = elections.member(shard)?.leader?.shardLeader
+        val shardLeader = elections.ofShard(shard)?.leader?.shardLeader
         val load = shardLeader?.load() ?: return null
         // Leaders of other shards in this process learn the load here, as peers do from the status message.
         sharding?.loadReported(shard, load)
--- a/src/main/kotlin/mintfield/app/PeerRequests.kt
+++ b/src/main/kotlin/mintfield/app/PeerRequests.kt
@@ -54,5 +54,5 @@
         body: ByteArray,
     ) = routes.userRequest(HttpMessage(method, path, "HTTP/1.1", emptyMap(), body))
 
-    override suspend fun relayedHeartbeat(body: ByteArray) = heartbeats.relayed(body)
+    override suspend fun relayedHeartbeat(body: ByteArray) = heartbeats.receiveRelayed(body)
 }
--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -47,7 +47,7 @@
     }
 
     private suspend fun lookUpCurrent(id: String): Lookup {
-        if (cutOff() || !replicator.current() || !replicator.resolveBefore(id)) return Lookup.Unavailable
+        if (cutOff() || !replicator.awaitCurrent() || !replicator.resolvePredecessorsOf(id)) return Lookup.Unavailable
         val known = replicator.known(id)
         if (known is KnownJob.Ended || known is KnownJob.Live) return Lookup.Found(known)
         // Of a job without a readable record only its final state, which may be long past, can tell more.
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -27,7 +27,7 @@
 
     /** Makes the replica know [ids], as far as they were accepted; false if the store cannot be asked. */
     private suspend fun bringIn(ids: List<String>): Boolean {
-        if (ids.any { replicator.known(it) == null } && !replicator.current()) return false
+        if (ids.any { replicator.known(it) == null } && !replicator.awaitCurrent()) return false
         return ids.all { replicator.known(it) != null || readFinalState(it) }
     }
 
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -33,8 +33,9 @@
 import kotlin.random.Random
 
 /**
- * This process's part in the election of one leader: it looks for the leader key, watches it while another leads, and campaigns when
- * there is none. The key hangs on a store lease, so that it disappears when its owner no longer renews it; its revision is the term.
+ * Takes part in the election of one leader: reads the leader key, watches it while another member leads, and campaigns when the key does
+ * not exist. The key is attached to a lease of the state service and is deleted when the leader no longer renews that lease. The revision
+ * of the key is the term.
  */
 class LeaderElection(
     private val loop: EventLoop,
@@ -42,41 +43,41 @@
     private val services: ExternalServices,
     private val replicator: JobReplicator,
     private val cancellationWatermark: CancellationWatermark,
-    /** What the election of a shard's leader needs besides; null if machines are not shared. */
-    private val part: ShardElection? = null,
-    /** Notifies the peers of a won election. */
+    /** Additional parameters of the election of a shard's leader; null if the machines are not divided into shards. */
+    private val shardElection: ShardElection? = null,
+    /** Announces a won election to the peers. */
     private val announce: () -> Unit,
 ) {
-    /** The shard whose leader is elected; null if there is one leader of all machines. */
-    val shard: ShardSettings? = part?.shard
+    /** The shard whose leader is elected; null if one leader manages all machines. */
+    val shard: ShardSettings? = shardElection?.shard
     private val keys = LeaderKeys(shard?.name)
     private val store = services.store
     private val leaseMs = services.settings.operator.leaderLeaseMs
     private val memberName = services.settings.member
     private val random = Random(System.nanoTime() xor memberName.hashCode().toLong())
 
-    /** Distinguishes this process from an earlier one of the same controller. */
+    /** Distinguishes this process from earlier processes of the same controller. */
     private val nonce = java.lang.Long.toHexString(random.nextLong())
     private val leaderRole = LeaderRole { Log.info(if (shard == null) it else "${shard.name}: $it") }
 
-    /** The leader that runs in this process; null while it does not lead. */
+    /** The leader in this process; null while this process does not lead. */
     var leader: Leader? = null
         private set
 
-    /** The peer that said it leads while the state service could not be asked. */
+    /** The last peer that reported leading while this process could not read the leader key; null if none. */
     private var claimedLeader: String? = null
 
-    /** The member that leads, as far as is known here; null if none is known. */
-    val known: String? get() = if (leaderRole.role == Role.SEEKING) claimedLeader else leaderRole.leader
+    /** The member that leads, as far as this process knows; null if unknown. */
+    val knownLeader: String? get() = if (leaderRole.role == Role.SEEKING) claimedLeader else leaderRole.leader
 
-    /** Takes part in the election until cancelled. A step that fails is tried again. */
+    /** Takes part in the election until cancelled. A failed step is retried. */
     suspend fun run() {
         while (true) {
             try {
                 step()
             } catch (e: IllegalStateException) {
                 currentCoroutineContext().ensureActive()
-                Log.error("leadership: ${e.message}")
+                Log.error("election step failed: ${e.message}")
                 delay(StoreConstants.STORE_RETRY_MS)
             }
         }
@@ -101,14 +102,14 @@
         }
     }
 
-    /** An own key that this process does not hold is from an earlier one, which is gone: its lease may end now. */
+    /** Ends the lease of a leader key that an earlier process of this member wrote. That process has ended, so nothing relies on the lease. */
     private suspend fun endStaleLease(entry: Entry) {
         Log.info("ending the lease of an earlier process of $memberName, term ${entry.revision}")
         entry.lease?.let { store.endLease(it) }
         leaderRole.moveTo(Role.SEEKING, null)
     }
 
-    /** Watches the leader key until it is gone, or the state service cannot tell. */
+    /** Watches the leader key until it is deleted, or until a watch fails or starts from a revision that is too old. */
     private suspend fun follow(entry: Entry) {
         leaderRole.moveTo(Role.FOLLOWING, memberOf(entry.data))
         var after = entry.revision
@@ -128,10 +129,10 @@
 
     private suspend fun campaign() {
         delay(random.nextLong(LeadershipConstants.ELECTION_JITTER_MS))
-        if (part != null) {
-            // The controller that should lead the shard goes first, if it is up.
-            delay(part.campaignDelayMs())
-            if (!part.activation.ready()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
+        if (shardElection != null) {
+            // Lets the preferred leader of the shard campaign first, if it is up.
+            delay(shardElection.campaignDelayMs())
+            if (!shardElection.activation.ready()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
         }
         val sentAtMs = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value ?: return seekAgainAfter(StoreConstants.STORE_RETRY_MS)
@@ -157,26 +158,26 @@
         data object Lost : Claim
     }
 
-    /** Puts the leader key on [lease], unless another member holds it. */
+    /** Creates the leader key, attached to [lease], unless it exists already. */
     private suspend fun claimLeaderKey(lease: Long): Claim {
         val put = KeyWrite.Put(keys.leader, LeaderTenure.leaderValue(memberName, nonce), lease)
-        val preconditions = listOfNotNull(Precondition(keys.leader, 0), part?.activation?.precondition)
+        val preconditions = listOfNotNull(Precondition(keys.leader, 0), shardElection?.activation?.precondition)
         return when (val result = store.txn(preconditions, listOf(put), urgent = true)) {
             is StoreResult.Ok -> {
-                part?.activation?.checkGuard(result.value)
+                shardElection?.activation?.checkGuard(result.value)
                 (result.value as? TxnOutcome.Applied)?.let { Claim.Won(it.revision) } ?: Claim.Lost
             }
             is StoreResult.Refused -> Claim.Lost
-            is StoreResult.Unknown -> claimWithoutAnswer(lease)
+            is StoreResult.Unknown -> resolveUnknownClaim(lease)
         }
     }
 
     /**
-     * After a claim without an answer: won if the key is ours and hangs on [lease]. A key of ours on another lease was put by an
-     * earlier claim that was carried out late. Nobody renews that lease, so leading by it would go on after its end, beside the next
-     * leader.
+     * Reads the outcome of a claim that got no response: it is won if the key was written by this process and is attached to [lease]. If
+     * the key is attached to another lease, an earlier claim of this process was applied late. Nobody renews that lease, so a leader that
+     * relied on it would continue after the lease has expired, concurrently with the next leader.
      */
-    private suspend fun claimWithoutAnswer(lease: Long): Claim {
+    private suspend fun resolveUnknownClaim(lease: Long): Claim {
         val entry = (store.get(keys.leader, urgent = true) as? StoreResult.Ok)?.value ?: return Claim.Lost
         return if (entry.data["nonce"] == nonce && entry.lease == lease) Claim.Won(entry.revision) else Claim.Lost
     }
@@ -185,18 +186,20 @@
         leaderRole.moveTo(Role.LEADING, memberName)
         Log.info("leading ${shard?.name ?: ""}".trim() + " with term ${tenure.term}")
         val leaderScope = scope + SupervisorJob(scope.coroutineContext[Job])
-        val fresh =
-            Leader(loop, leaderScope, services, replicator, tenure, cancellationWatermark, part?.newLeadership()) { reason -> depose(leaderScope, reason) }
-        leader = fresh
-        fresh.start()
+        val newLeader =
+            Leader(loop, leaderScope, services, replicator, tenure, cancellationWatermark, shardElection?.newLeadership()) { reason ->
+                depose(leaderScope, reason)
+            }
+        leader = newLeader
+        newLeader.start()
         announce()
     }
 
-    /** Gives the leadership up and ends its lease, so that another member is elected without waiting for the lease to expire. */
+    /** Gives up the leadership and ends its lease, so that another member can be elected before the lease would expire. */
     suspend fun transferLeadership(reason: String) {
         val resigning = leader ?: return
         resigning.resign(reason)
-        // Only now: from here on another member may lead at any moment.
+        // The lease must not end before the leader has stopped: once it ends, another member may lead at any moment.
         resigning.endLease()
     }
 
@@ -205,7 +208,7 @@
         reason: String,
     ) {
         if (leader == null) return
-        Log.info("not leading any more: $reason")
+        Log.info("leadership ended: $reason")
         leader?.let { replicator.listeners.remove(it.jobListener) }
         leader = null
         leaderRole.moveTo(Role.SEEKING, null)
@@ -213,8 +216,8 @@
     }
 
     /**
-     * [peer] says that it leads with [term]. If that is higher than the term of the leader here, this one is deposed at once: the
-     * workers that still send their heartbeats here must be told, also while the state service cannot be reached.
+     * Handles a report of [peer] that it leads with [term]. A leader in this process with a lower term is deposed at once, so that workers
+     * that still send their heartbeats here are redirected even while the state service cannot be reached.
      */
     fun peerLeads(
         peer: String,
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -4,55 +4,55 @@
 import mintfield.app.sharding.ShardingContext
 import mintfield.io.worker.HeartbeatCodec
 
-/** The elections that this process takes part in: one, or one for each shard of the machines. */
+/** The elections that this process takes part in: one for all machines, or one for each shard. */
 class LeaderElections(
     /** All elections, in the order of the shards in the settings. */
-    val members: List<LeaderElection>,
+    val all: List<LeaderElection>,
     private val sharding: ShardingContext?,
 ) {
     /** The leaders that run in this process. */
-    val leaders: List<Leader> get() = members.mapNotNull { it.leader }
+    val leaders: List<Leader> get() = all.mapNotNull { it.leader }
 
     /** Whether the leader of any election is known. */
-    val anyKnown: Boolean get() = members.any { it.known != null }
+    val isAnyLeaderKnown: Boolean get() = all.any { it.knownLeader != null }
 
     /** The election of the leader of [shard]; null if there is no such shard. */
-    fun member(shard: String): LeaderElection? = members.firstOrNull { it.shard?.name == shard }
+    fun ofShard(shard: String): LeaderElection? = all.firstOrNull { it.shard?.name == shard }
 
-    /** The member that leads [shard], as far as is known here; null if none is known. */
-    fun leaderOf(shard: String): String? = member(shard)?.known
+    /** The member that leads [shard], as far as this process knows; null if unknown. */
+    fun leaderOf(shard: String): String? = ofShard(shard)?.knownLeader
 
-    /** The election whose leader answers the heartbeat in [body]; null if its machine has no owner. */
+    /** The election whose leader responds to the heartbeat in [body]; null if no shard owns the machine, or the heartbeat is unreadable. */
     fun forHeartbeat(body: ByteArray): LeaderElection? {
-        if (sharding == null) return members.single()
+        if (sharding == null) return all.single()
         val machine = HeartbeatCodec.decode(body)?.machine ?: return null
-        return sharding.shardFor(machine)?.let(::member)
+        return sharding.shardFor(machine)?.let(::ofShard)
     }
 
-    /** The terms that this process leads with, by shard, or by [ONLY] if there are no shards. */
+    /** The terms of the leaders in this process, by the name of the shard, or by [UNSHARDED] if there are no shards. */
     fun terms(): Map<String, Long> {
         val terms = LinkedHashMap<String, Long>()
-        for (election in members) election.leader?.let { terms[nameOf(election)] = it.scheduler.cluster.term }
+        for (election in all) election.leader?.let { terms[nameOf(election)] = it.scheduler.cluster.term }
         return terms
     }
 
-    /** [peer] leads [shard] with [term]. */
+    /** Handles a report of [peer] that it leads [shard] with [term]. A leader in this process with a lower term is deposed. */
     fun peerLeads(
         peer: String,
         shard: String,
         term: Long,
     ) {
-        members.firstOrNull { nameOf(it) == shard }?.peerLeads(peer, term)
+        all.firstOrNull { nameOf(it) == shard }?.peerLeads(peer, term)
     }
 
-    /** Writes of users wait for the state service: the leaders here leave them room for a while. */
+    /** Lowers the write rate of the leaders in this process for a limited time, as users' writes wait for the state service. */
     fun yieldToUsers() = leaders.forEach { it.yieldToUsers() }
 
-    private fun nameOf(election: LeaderElection): String = election.shard?.name ?: ONLY
+    private fun nameOf(election: LeaderElection): String = election.shard?.name ?: UNSHARDED
 
-    /** The name of the election where there are no shards. */
+    /** Holds the name of the election in a cluster without shards. */
     companion object {
-        /** Stands in place of a shard's name. */
-        const val ONLY = ""
+        /** Takes the place of the shard's name if there are no shards. */
+        const val UNSHARDED = ""
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
+++ b/src/main/kotlin/mintfield/app/leader/CloudCallExecutor.kt
@@ -8,18 +8,18 @@
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 
-/** Carries out the scheduler's requests to the cloud, one at a time, and reports the results to the fleet manager. */
+/** Executes the scheduler's cloud calls, one at a time, and reports the results to the fleet manager. */
 class CloudCallExecutor(
     private val loop: EventLoop,
     private val cloud: CloudClient,
     private val scheduler: Scheduler,
     private val leadership: Leadership,
-    /** Called after each request. */
-    private val afterEach: () -> Unit,
+    /** Called after each call, whether it succeeded or failed. */
+    private val onCallCompleted: () -> Unit,
 ) {
     private val fleet = scheduler.fleet
 
-    /** Carries out requests whenever there are any and the lease holds, until cancelled. */
+    /** Executes pending calls while the leader's lease holds, until cancelled. */
     suspend fun run() {
         while (true) {
             val call = if (leadership.mayAct()) scheduler.cloudCall(loop.nowMs()) else null
@@ -27,32 +27,32 @@
                 delay(IDLE_WAIT_MS)
                 continue
             }
-            carryOut(call)
-            afterEach()
+            execute(call)
+            onCallCompleted()
         }
     }
 
-    private suspend fun carryOut(call: CloudCall) {
+    private suspend fun execute(call: CloudCall) {
         when (call) {
             is CloudCall.Provision -> provision(call)
-            is CloudCall.Release -> settle(call, cloud.release(call.machines)) { fleet.released(call.machines, loop.nowMs()) }
-            is CloudCall.ListPage -> settle(call, cloud.list(call.after)) { fleet.listed(it.machines, it.hasNext, loop.nowMs()) }
-            CloudCall.Types -> settle(call, cloud.types()) { fleet.typesRead(it, loop.nowMs()) }
+            is CloudCall.Release -> handleResult(call, cloud.release(call.machines)) { fleet.released(call.machines, loop.nowMs()) }
+            is CloudCall.ListPage -> handleResult(call, cloud.list(call.after)) { fleet.listed(it.machines, it.hasNext, loop.nowMs()) }
+            CloudCall.Types -> handleResult(call, cloud.types()) { fleet.typesRead(it, loop.nowMs()) }
         }
     }
 
     private suspend fun provision(call: CloudCall.Provision) {
         val result = cloud.provision(call.intent)
         if (result == CloudResult.NoCapacity) return fleet.noCapacity(call.intent, loop.nowMs())
-        settle(call, result) { fleet.provisioned(call.intent, it, loop.nowMs()) }
+        handleResult(call, result) { fleet.provisioned(call.intent, it, loop.nowMs()) }
     }
 
-    private inline fun <T> settle(
+    private inline fun <T> handleResult(
         call: CloudCall,
         result: CloudResult<T>,
-        succeeded: (T) -> Unit,
+        onSuccess: (T) -> Unit,
     ) = when (result) {
-        is CloudResult.Ok -> succeeded(result.value)
+        is CloudResult.Ok -> onSuccess(result.value)
         CloudResult.NoCapacity -> failed(call, "no capacity")
         is CloudResult.Failed -> failed(call, result.reason)
     }
@@ -61,7 +61,7 @@
         call: CloudCall,
         reason: String,
     ) {
-        Log.info("the cloud did not carry out ${call.javaClass.simpleName}: $reason")
+        Log.info("cloud call ${call.javaClass.simpleName} failed: $reason")
         fleet.failed(call, loop.nowMs())
     }
 
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -19,7 +19,7 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-/** Writes what the scheduler decides to the state service, one transaction at a time, at the pace of [pacer]. */
+/** Commits the scheduler's decisions to the state service, one transaction at a time, at the rate that [pacer] permits. */
 class CommitLoop(
     private val loop: EventLoop,
     private val services: ExternalServices,
@@ -28,26 +28,26 @@
     private val packer: CommitPacker,
     private val pacer: WritePacer,
     private val leadership: Leadership,
-    /** Called with the final states that were written. */
-    private val ended: (String, FinalState) -> Unit,
+    /** Called with the id and the final state of each job whose end was committed. */
+    private val onJobEnded: (String, FinalState) -> Unit,
 ) {
     private val store = services.store
     private val limits = services.stateLimits
     private val wakeSignal = Channel<Unit>(Channel.CONFLATED)
 
-    /** Something may have to be written. */
+    /** Signals that there may be something to commit. */
     fun wake() {
         wakeSignal.trySend(Unit)
     }
 
-    /** Writes whenever there is something to write, until cancelled. [afterEach] is called after each transaction and each wait. */
+    /** Commits pending writes while the leader's lease holds, until cancelled. Calls [afterEach] after each transaction and each wait. */
     suspend fun run(afterEach: () -> Unit) {
         while (true) {
             withTimeoutOrNull(IDLE_WAIT_MS) { wakeSignal.receive() }
             while (leadership.mayAct()) {
                 val ops = minOf(limits.current.txnOps, pacer.available())
                 val commit = scheduler.nextCommit(loop.nowMs(), System.currentTimeMillis(), ops, pacer.isYielding) ?: break
-                carryOut(commit)
+                execute(commit)
                 afterEach()
                 delay(PlacementConstants.REPLICA_ROUND_INTERVAL_MS)
             }
@@ -55,21 +55,21 @@
         }
     }
 
-    private suspend fun carryOut(wanted: Commit) {
-        val transaction = packer.pack(wanted)
-        scheduler.deferred(wanted.writes.drop(transaction.taken.size), loop.nowMs())
-        pacer.take(transaction.keyWrites.size)
+    private suspend fun execute(commit: Commit) {
+        val transaction = packer.pack(commit)
+        scheduler.deferred(commit.writes.drop(transaction.writes.size), loop.nowMs())
+        pacer.recordWrites(transaction.keyWrites.size)
         val sentAtMs = loop.nowMs()
         val result = commitResult(store.txn(transaction.preconditions, transaction.keyWrites, urgent = true), transaction)
         services.metrics.committed(loop.nowMs() - sentAtMs)
-        scheduler.committed(Commit(wanted.term, transaction.taken), result, loop.nowMs())
-        if (result is CommitResult.Done) transaction.taken.forEach(::reportEnd)
+        scheduler.committed(Commit(commit.term, transaction.writes), result, loop.nowMs())
+        if (result is CommitResult.Done) transaction.writes.forEach(::reportJobEnd)
     }
 
-    private fun reportEnd(write: Write) {
+    private fun reportJobEnd(write: Write) {
         when (write) {
-            is Write.FinishJob -> ended(write.job.id, FinalState(JobPhase.DONE, write.job.spec.tasks, System.currentTimeMillis()))
-            is Write.CancelSuccessor -> ended(write.job.id, FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis()))
+            is Write.FinishJob -> onJobEnded(write.job.id, FinalState(JobPhase.DONE, write.job.spec.tasks, System.currentTimeMillis()))
+            is Write.CancelSuccessor -> onJobEnded(write.job.id, FinalState(JobPhase.CANCELLED, 0, System.currentTimeMillis()))
             else -> {}
         }
     }
@@ -79,44 +79,47 @@
         transaction: CommitTransaction,
     ): CommitResult =
         when (result) {
-            is StoreResult.Ok -> answered(result.value, transaction)
+            is StoreResult.Ok -> handleOutcome(result.value, transaction)
             is StoreResult.Refused -> {
-                Log.debug("a commit of ${transaction.keyWrites.size} writes was refused with ${result.status}")
+                Log.debug("commit of ${transaction.keyWrites.size} writes refused with status ${result.status}")
                 if (result.status == HttpStatus.TOO_MANY_REQUESTS) pacer.yieldToUsers()
                 delay(StoreConstants.STORE_RETRY_MS)
                 CommitResult.Refused
             }
             is StoreResult.Unknown -> {
-                Log.info("no answer to a commit of ${transaction.keyWrites.size} writes: ${result.reason}; the term will be raised")
+                Log.info("no response to a commit of ${transaction.keyWrites.size} writes: ${result.reason}; the term will be raised")
                 CommitResult.Unknown
             }
         }
 
-    private suspend fun answered(
+    private suspend fun handleOutcome(
         outcome: TxnOutcome,
         transaction: CommitTransaction,
     ): CommitResult =
         when (outcome) {
             is TxnOutcome.Applied -> CommitResult.Done(outcome.revision)
-            is TxnOutcome.Failed -> preconditionFailed(outcome.keys)
-            is TxnOutcome.Malformed -> malformed(outcome, transaction)
+            is TxnOutcome.Failed -> handleFailedPreconditions(outcome.keys)
+            is TxnOutcome.Malformed -> handleMalformed(outcome, transaction)
             TxnOutcome.LeaseGone -> {
                 leadership.leaseExpired()
                 CommitResult.Refused
             }
         }
 
-    /** Not executed. If the limits have become lower, the writes are sent again in smaller transactions; if not, that would be of no use. */
-    private fun malformed(
+    /**
+     * Handles a transaction that was rejected as malformed, and thus not executed. If the limits have been lowered since it was packed,
+     * its writes are sent again in smaller transactions. Otherwise a retry would be rejected as well, so this throws [IllegalStateException].
+     */
+    private fun handleMalformed(
         outcome: TxnOutcome.Malformed,
         transaction: CommitTransaction,
     ): CommitResult {
-        check(limits.refused(transaction.limits)) { "the state service calls a transaction malformed: ${outcome.reason}" }
-        Log.info("the state service permits less from now on: ${limits.current}")
+        check(limits.refused(transaction.limits)) { "the state service rejected a transaction as malformed: ${outcome.reason}" }
+        Log.info("the state service has lowered its limits: ${limits.current}")
         return CommitResult.Refused
     }
 
-    private suspend fun preconditionFailed(failedKeys: List<String>): CommitResult {
+    private suspend fun handleFailedPreconditions(failedKeys: List<String>): CommitResult {
         if (leaderKey in failedKeys) {
             leadership.checkLeaderKey()
             return CommitResult.Refused
--- a/src/main/kotlin/mintfield/app/leader/CommitTransaction.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitTransaction.kt
@@ -8,13 +8,13 @@
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Precondition
 
-/** One transaction of the leader with the state service: those of a commit's writes, from the first on, that it has room for. */
+/** A transaction of the leader with the state service: as many writes of a commit, in order, as fit within the limits. */
 class CommitTransaction(
-    /** The writes that are part of it. */
-    val taken: List<Write>,
+    /** The writes of the commit that the transaction contains. */
+    val writes: List<Write>,
     val preconditions: List<Precondition>,
     val keyWrites: List<KeyWrite>,
-    /** The limits of the state service that it was made for. */
+    /** The limits of the state service that were in force when the transaction was packed. */
     val limits: StateLimits,
 )
 
@@ -24,13 +24,16 @@
     private val encoder: WriteEncoder,
     private val limits: StateLimitsInForce,
 ) {
-    /** The transaction for [commit], guarded by the leader key at the commit's term. It contains one write at least. */
+    /**
+     * Packs the first writes of [commit] into a transaction with a precondition on the leader key at the commit's term. The transaction
+     * contains at least one write, even if that write exceeds the limits.
+     */
     fun pack(commit: Commit): CommitTransaction {
         val inForce = limits.current
         val preconditions = LinkedHashMap<String, Precondition>()
         preconditions[leaderKey] = Precondition(leaderKey, commit.term)
         val keyWrites = ArrayList<KeyWrite>()
-        val taken = ArrayList<Write>()
+        val writes = ArrayList<Write>()
         var bytes = 0
         for (write in commit.writes) {
             val encoded = encoder.keyWrites(write)
@@ -40,20 +43,20 @@
             encoder.preconditionsOf(write).forEach { preconditions[it.key] = it }
             keyWrites.addAll(encoded)
             bytes += size
-            taken.add(write)
+            writes.add(write)
         }
-        return CommitTransaction(taken, preconditions.values.toList(), keyWrites, inForce)
+        return CommitTransaction(writes, preconditions.values.toList(), keyWrites, inForce)
     }
 
-    /** Bytes that [writes] take in a request, with a margin for their preconditions. */
+    /** Estimates the size of [writes] in a request, in bytes, with a margin for their preconditions. */
     private fun sizeOf(writes: List<KeyWrite>): Int =
         writes.sumOf { (it as? KeyWrite.Put)?.json?.size ?: 0 } + OPERATION_OVERHEAD_BYTES * (writes.size + MAX_PRECONDITIONS_PER_WRITE)
 
     private companion object {
-        /** Bytes of a write or precondition in a transaction besides its value. */
+        /** Size of a write or precondition in a transaction, without its value. */
         const val OPERATION_OVERHEAD_BYTES = 110
 
-        /** Preconditions that are counted for each write. */
+        /** Number of preconditions assumed for each write when its size is estimated. */
         const val MAX_PRECONDITIONS_PER_WRITE = 2
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -13,26 +13,26 @@
 import mintfield.io.worker.CommandCodec
 import mintfield.io.worker.HeartbeatCodec
 
-/** Sends commands to workers without waiting for their heartbeats. The number of calls under way is bounded. */
+/** Sends commands to workers without waiting for their next heartbeats. The number of concurrent calls is bounded. */
 class DirectCommandSender(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val services: ExternalServices,
     private val scheduler: Scheduler,
-    /** Called with each answer. */
-    private val answered: () -> Unit,
+    /** Called after each response. */
+    private val onResponse: () -> Unit,
 ) {
-    private var callsUnderWay = 0
+    private var callsInFlight = 0
 
-    /** Sends what the scheduler wants sent now, each call in a coroutine of its own. */
+    /** Sends the commands that are due, with one coroutine for the call to each worker. */
     fun sendDue() {
-        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.bounds.directCalls - callsUnderWay)) {
-            callsUnderWay++
+        for (call in scheduler.directCalls(loop.nowMs(), scheduler.cluster.bounds.directCalls - callsInFlight)) {
+            callsInFlight++
             scope.launch {
                 try {
                     send(call)
                 } finally {
-                    callsUnderWay--
+                    callsInFlight--
                 }
             }
         }
@@ -42,19 +42,19 @@
         val client = services.worker(call.address) ?: return scheduler.directUnanswered(call, sent = false, loop.nowMs())
         val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
         when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
-            is Reply.Answer -> take(reply, call)
+            is Reply.Answer -> handleResponse(reply, call)
             is Reply.None -> scheduler.directUnanswered(call, reply.sent, loop.nowMs())
         }
     }
 
-    private fun take(
-        answer: Reply.Answer,
+    private fun handleResponse(
+        response: Reply.Answer,
         call: DirectCall,
     ) {
-        val isRefused = answer.status == HttpStatus.CONFLICT
-        val heartbeat = if (answer.status == HttpStatus.OK || isRefused) HeartbeatCodec.decode(answer.body) else null
-        if (isRefused) Log.info("${call.machine} refused commands of term ${call.term}, incarnation ${call.incarnation}")
+        val isRefused = response.status == HttpStatus.CONFLICT
+        val heartbeat = if (response.status == HttpStatus.OK || isRefused) HeartbeatCodec.decode(response.body) else null
+        if (isRefused) Log.info("machine ${call.machine}: refused commands of term ${call.term}, incarnation ${call.incarnation}")
         scheduler.directAnswered(call, heartbeat, loop.nowMs())
-        answered()
+        onResponse()
     }
 }
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -25,8 +25,8 @@
 import mintfield.io.store.StoreResult
 
 /**
- * One tenure of this member as leader: runs the scheduler and carries out its decisions. Its loops live in [scope], which whoever
- * was told by `deposed` cancels; from then on the leader must not be used.
+ * Leader for one tenure of this member: runs the scheduler and executes its decisions. Its coroutines run in [scope], which the owner
+ * of the leader cancels when `onDeposed` is called. After that call the leader must not be used.
  */
 class Leader(
     private val loop: EventLoop,
@@ -35,15 +35,16 @@
     private val replicator: JobReplicator,
     private val tenure: LeaderTenure,
     private val cancellationWatermark: CancellationWatermark,
-    /** The shard that it leads; null if machines are not shared. */
+    /** The shard that this leader is elected for; null if the machines are not divided into shards. */
     private val shardLeadership: ShardLeadership?,
-    private val deposed: (String) -> Unit,
+    /** Called with the reason when this leader loses or gives up its leadership. */
+    private val onDeposed: (String) -> Unit,
 ) : Leadership {
     private val settings = services.settings
     private val store = services.store
     private val keys = LeaderKeys(shardLeadership?.shard?.name)
 
-    /** The decisions of this leader. */
+    /** Makes the decisions of this leader. */
     val scheduler =
         Scheduler(
             settings = settings,
@@ -54,10 +55,10 @@
             stateLimits = services.stateLimits,
         ) { Log.info(it) }
 
-    /** By which way the workers' heartbeats come here. */
+    /** The routes, direct or relayed, by which the workers' heartbeats reach this leader. */
     val routes = WorkerRoutes(loop, scheduler.cluster)
 
-    /** Passes the changes of jobs on to the scheduler, once the replay has read them. */
+    /** Passes job changes on to the scheduler. The replay registers it with the replica once all records are read. */
     val jobListener = LeaderJobListener(loop, scheduler, ::isScheduledHere, ::wake)
 
     private val pacer = WritePacer(loop, settings, services.stateLimits)
@@ -68,7 +69,7 @@
     private val cloudCalls = CloudCallExecutor(loop, services.cloud, scheduler, this, ::wake)
     private val leaseRenewal = LeaseRenewal(loop, store, tenure, this)
 
-    /** What it does for the shard that it leads; null if machines are not shared. */
+    /** Takes part in moves of machines between shards; null if the machines are not divided into shards. */
     val shardLeader: ShardLeader? = shardLeadership?.leader(scheduler)
 
     private fun isScheduledHere(spec: JobSpec): Boolean {
@@ -78,32 +79,32 @@
 
     override fun mayAct(): Boolean = tenure.clock.mayAct(loop.nowMs())
 
-    /** Milliseconds for which the leader's lease certainly still holds; negative once that is past. */
+    /** Minimum time for which the leader's lease still holds, in milliseconds; negative if it may have expired. */
     fun leaseLeftMs(): Long = tenure.clock.leftMs(loop.nowMs())
 
-    /** Gives the leadership up, because of [reason]. The leader key remains until its lease ends. */
-    fun resign(reason: String) = deposed(reason)
+    /** Gives up the leadership because of [reason]. The leader key remains until its lease ends. */
+    fun resign(reason: String) = onDeposed(reason)
 
-    /** Ends the lease on which the leader key hangs, so that another can be elected. To be called after [resign]. */
+    /** Ends the lease that the leader key is attached to, so that another leader can be elected. Must be called after [resign]. */
     suspend fun endLease() {
         store.endLease(tenure.lease)
     }
 
-    override fun leaseExpired() = deposed("the lease has ended")
+    override fun leaseExpired() = onDeposed("the leader lease has expired")
 
-    /** Writes of users wait for the state service: leaves them room for a while. */
+    /** Lowers the rate of this leader's writes for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the state service. */
     fun yieldToUsers() = pacer.yieldToUsers()
 
-    /** Something may have to be written. */
+    /** Signals that there may be something to commit. */
     fun wake() = commits.wake()
 
-    /** Counts [count] writes that were sent besides the commits. */
-    fun wrote(count: Int) = pacer.take(count)
+    /** Counts [count] writes that were sent outside the commit loop against the write rate. */
+    fun recordWrites(count: Int) = pacer.recordWrites(count)
 
-    /** Starts to lead: first the replay, then all the rest. */
+    /** Starts the renewal of the lease and the replay. The other components start when the replay is complete. */
     fun start() {
-        launchPart("renewal") { leaseRenewal.run() }
-        launchPart("replay") {
+        launchComponent("lease renewal") { leaseRenewal.run() }
+        launchComponent("replay") {
             shardLeader?.readAssignments()
             replay.run(jobListener)
             startActing()
@@ -112,18 +113,18 @@
 
     private fun startActing() {
         if (shardLeader != null) {
-            launchPart("assignments") { shardLeader.changeAssignments(this) }
-            launchPart("tasks elsewhere") { shardLeader.followRemoteTasks(this) }
+            launchComponent("assignments") { shardLeader.changeAssignments(this) }
+            launchComponent("remote tasks") { shardLeader.followRemoteTasks(this) }
         }
-        launchPart("commits") { commits.run { if (mayAct()) directCommands.sendDue() } }
-        launchPart("cloud") { cloudCalls.run() }
-        launchPart("time") { runTicks() }
-        launchPart("view") { replicator.follow() }
+        launchComponent("commits") { commits.run { if (mayAct()) directCommands.sendDue() } }
+        launchComponent("cloud calls") { cloudCalls.run() }
+        launchComponent("ticks") { runTicks() }
+        launchComponent("job replica") { replicator.follow() }
     }
 
-    /** Runs [work] in a coroutine of this leader. A leader of which a part has failed would do only half of its work, so it resigns. */
-    @Suppress("TooGenericExceptionCaught") // Whatever has failed, a fault of the program included, another leader has to take over.
-    private fun launchPart(
+    /** Runs [work] in a coroutine of this leader. If it fails, the leader resigns, since it cannot work without any of its components. */
+    @Suppress("TooGenericExceptionCaught") // After any failure, including a bug, another leader has to take over.
+    private fun launchComponent(
         name: String,
         work: suspend () -> Unit,
     ) {
@@ -135,7 +136,7 @@
             } catch (e: RuntimeException) {
                 Log.error("$name failed: $e at ${e.stackTrace.take(STACK_FRAMES_LOGGED)}")
                 delay(StoreConstants.STORE_RETRY_MS)
-                deposed("$name failed")
+                onDeposed("$name failed")
             }
         }
     }
@@ -156,11 +157,11 @@
         val result = store.get(keys.leader, urgent = true)
         if (result !is StoreResult.Ok) return delay(StoreConstants.STORE_RETRY_MS)
         val entry = result.value
-        if (entry == null || !tenure.owns(entry)) return deposed("another leader has come")
+        if (entry == null || !tenure.owns(entry)) return onDeposed("another leader was elected")
         scheduler.raised(entry.revision, loop.nowMs())
     }
 
-    /** Answers [heartbeat]; waits for a while if the machine is behind a zone fence, which may be lifted. */
+    /** Responds to [heartbeat]. If the machine's zone is fenced, waits up to [FleetConstants.ZONE_FENCE_WAIT_MS] for the fence to be lifted. */
     suspend fun heartbeat(
         heartbeat: Heartbeat,
         relayed: Boolean,
@@ -168,8 +169,8 @@
     ): HeartbeatResponse {
         val until = loop.nowMs() + FleetConstants.ZONE_FENCE_WAIT_MS
         while (true) {
-            val answer = scheduler.heartbeat(heartbeat, mayAct(), loop.nowMs(), relayed, viaRelayPeer, cancellationWatermark.upToMs())
-            if (answer != HeartbeatResponse.ZoneFenced || loop.nowMs() > until) return answer
+            val response = scheduler.heartbeat(heartbeat, mayAct(), loop.nowMs(), relayed, viaRelayPeer, cancellationWatermark.upToMs())
+            if (response != HeartbeatResponse.ZoneFenced || loop.nowMs() > until) return response
             wake()
             delay(FleetConstants.ZONE_FENCE_WAIT_STEP_MS)
         }
--- a/src/main/kotlin/mintfield/app/leader/LeaderJobListener.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaderJobListener.kt
@@ -6,11 +6,11 @@
 import mintfield.core.model.JobSpec
 import mintfield.io.loop.EventLoop
 
-/** Passes the changes of jobs in the replica on to the scheduler of a leader, and wakes its commits if there may be something to write. */
+/** Passes job changes in the replica on to a leader's scheduler, and wakes its commit loop if there may be something to commit. */
 class LeaderJobListener(
     private val loop: EventLoop,
     private val scheduler: Scheduler,
-    /** Whether the leader schedules a job. */
+    /** Whether the leader schedules a job: it belongs to a team of the leader's shard, or there are no shards. */
     private val isScheduledHere: (JobSpec) -> Boolean,
     private val wake: () -> Unit,
 ) : JobListener {
--- a/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaderTenure.kt
@@ -4,24 +4,24 @@
 import mintfield.io.json.Json
 import mintfield.io.store.Entry
 
-/** What one won election gave to its winner: the leader key at revision [term], which hangs on the store lease [lease]. */
+/** Result of a won election: the leader key at revision [term], attached to the lease [lease] of the state service. */
 class LeaderTenure(
-    /** The revision of the leader key at the election; it rises when the key is rewritten. */
+    /** Revision of the leader key when the election was won. The scheduler's term rises with each rewrite of the key. */
     val term: Long,
     val lease: Long,
-    /** Distinguishes the winner's process from an earlier one of the same controller. */
+    /** Distinguishes the leader's process from earlier processes of the same controller. */
     private val nonce: String,
     private val member: String,
-    /** For how much longer the lease certainly holds. */
+    /** Computes for how long the lease is certain to hold. */
     val clock: LeaseClock,
 ) {
-    /** The value of the leader key. */
+    /** The value of the leader key during this tenure. */
     fun keyValue(): ByteArray = leaderValue(member, nonce)
 
-    /** Whether the leader key's [entry] was written in this tenure. */
+    /** Whether [entry], read from the leader key, was written by this process and is attached to the lease of this tenure. */
     fun owns(entry: Entry): Boolean = entry.data["nonce"] == nonce && entry.lease == lease
 
-    /** How the leader key is written, also before the election is won. */
+    /** Encodes the value of the leader key, which is needed before a tenure exists. */
     companion object {
         /** The value of the leader key while the process [nonce] of [member] leads. */
         fun leaderValue(
--- a/src/main/kotlin/mintfield/app/leader/Leadership.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leadership.kt
@@ -1,16 +1,16 @@
 package mintfield.app.leader
 
-/** The right to act as leader, as the parts of a leader see it. */
+/** The leadership of a [Leader], for use by its components. */
 interface Leadership {
-    /** Whether the leader's lease certainly holds now. Without it nothing may be written, sent or called. */
+    /** Whether the leader's lease is certain to hold now. If not, no commit, command or cloud call may be sent. */
     fun mayAct(): Boolean
 
     /**
-     * Reads the leader key after a precondition on it has failed: an own rewriting of it that got no answer may have been
-     * applied, which raises the term. Otherwise another leader has been elected, and this one is deposed.
+     * Reads the leader key after a precondition on it has failed. If this leader's own rewrite of the key was applied without a
+     * response, the term rises to the key's revision. Otherwise another leader has been elected, and this one is deposed.
      */
     suspend fun checkLeaderKey()
 
-    /** The state service no longer knows the lease on which the leader key hangs. */
+    /** Deposes the leader, because the lease that the leader key was attached to no longer exists in the state service. */
     fun leaseExpired()
 }
--- a/src/main/kotlin/mintfield/app/leader/LeaseRenewal.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaseRenewal.kt
@@ -8,7 +8,10 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
-/** Renews the lease on which the leader key hangs. It counts from the sending of the renewal, not from its answer. */
+/**
+ * Renews the lease that the leader key is attached to. A renewed lease is counted from the sending of the request, not from its response,
+ * so that it does not end later here than in the state service.
+ */
 class LeaseRenewal(
     private val loop: EventLoop,
     private val store: StoreClient,
@@ -25,7 +28,7 @@
         }
     }
 
-    /** Tries until the state service answers. */
+    /** Retries until the state service responds. */
     private suspend fun renew(): Outcome {
         var failures = 0
         while (true) {
@@ -36,8 +39,8 @@
                 tenure.clock.renewed(sentAtMs)
                 return Outcome.RENEWED
             }
-            // In an outage this comes again and again; once a renewal is enough to see how time runs out.
-            if (++failures % FAILURES_PER_LOG_LINE == 1) Log.info("the lease was not renewed: $result; ${tenure.clock.leftMs(loop.nowMs())} ms left")
+            // During an outage every attempt fails; a line every few seconds is enough to follow the time that is left.
+            if (++failures % FAILURES_PER_LOG_LINE == 1) Log.info("leader lease not renewed: $result; ${tenure.clock.leftMs(loop.nowMs())} ms left")
             delay(StoreConstants.STORE_RETRY_MS)
         }
     }
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -22,8 +22,9 @@
 import mintfield.io.store.ZoneFenceCodec
 
 /**
- * Reads what earlier leaders have recorded and hands it to the scheduler of a new one: zone fences, machine types, jobs, scale-out
- * intents, rounds and learned estimates, and the cloud's machine list. Requests that fail are repeated until they succeed.
+ * Restores the state of a new leader's scheduler from the records of earlier leaders (zone fences, scale-out intents, rounds and learned
+ * estimates), the jobs, and the cloud's machine types and machine list. Failed requests are repeated until they succeed, except that for the
+ * machine list.
  */
 class Replay(
     private val loop: EventLoop,
@@ -31,30 +32,30 @@
     private val replicator: JobReplicator,
     private val scheduler: Scheduler,
     private val keys: LeaderKeys,
-    /** Whether the leader schedules a job. */
+    /** Whether the leader schedules a job: it belongs to a team of the leader's shard, or there are no shards. */
     private val isScheduledHere: (JobSpec) -> Boolean,
 ) {
     private val store = services.store
 
     private class LeaderRecords(
         val intents: List<Entry>,
-        /** In the order of their revisions. */
+        /** Records of rounds, in the order of their revisions. */
         val rounds: List<Entry>,
         val learnedState: List<LearnedState>,
     )
 
-    /** Replays everything; then the scheduler may plan, and [listener] is notified of further changes of jobs. */
+    /** Replays all records. Afterwards the scheduler may plan, and [listener] is notified of further job changes. */
     suspend fun run(listener: JobListener) {
         val startedAtMs = loop.nowMs()
-        // No lease is renewed on a view of the jobs from before the election.
+        // Workers' leases may be renewed only if the replica shows the jobs as of the election or later.
         readJobs()
-        // The fences of an earlier leader must hold before any heartbeat is answered.
+        // Zone fences of earlier leaders must be in force before the first response to a heartbeat.
         replayZoneFences()
         readTypes()
-        renewFirst()
+        awaitFirstHeartbeats()
         readJobs()
         val records = readLeaderRecords()
-        // Jobs may have been accepted or cancelled at other controllers meanwhile; from here on the listener is notified of them.
+        // Other controllers may have accepted or cancelled jobs while the records were read. The listener is notified of later changes.
         readJobs()
         handOver(records, listener)
         Log.info(
@@ -64,7 +65,7 @@
     }
 
     private suspend fun readJobs() {
-        while (!replicator.current()) delay(StoreConstants.STORE_RETRY_MS)
+        while (!replicator.awaitCurrent()) delay(StoreConstants.STORE_RETRY_MS)
     }
 
     private suspend fun replayZoneFences() {
@@ -85,11 +86,11 @@
     }
 
     /**
-     * Leaves the processor to heartbeats before records are read and replayed, as long as workers send their first ones. That is needed
-     * only just after the start of the process: its code is still interpreted, and the leases are half used up if all controllers had
-     * ended.
+     * Delays the replay while workers send their first heartbeats, so that the replay does not compete with them for the CPU. The delay is
+     * needed only shortly after the start of the process, when its code is still interpreted and, if all controllers were down, half of
+     * the workers' lease time has passed.
      */
-    private suspend fun renewFirst() {
+    private suspend fun awaitFirstHeartbeats() {
         if (loop.nowMs() - loop.startedAtMs > LeadershipConstants.WARMED_UP_MS) return
         val startedAtMs = loop.nowMs()
         delay(LeadershipConstants.FIRST_HEARTBEATS_QUIET_MS)
@@ -119,7 +120,7 @@
         }
     }
 
-    /** Reads the cloud's machine list once for all replayed jobs; if that fails, heartbeats have to tell of the machines. */
+    /** Reads the cloud's machine list once for all replayed jobs. If a request fails, the machines are learned from their heartbeats. */
     private suspend fun readMachines() {
         var after: String? = null
         do {
@@ -129,7 +130,7 @@
         } while (page.hasNext && after != null)
     }
 
-    /** Hands everything to the scheduler without suspending, so that no change comes in between. */
+    /** Passes jobs and [records] to the scheduler without suspending, so that no change can occur in between. */
     private fun handOver(
         records: LeaderRecords,
         listener: JobListener,
@@ -144,7 +145,7 @@
         scheduler.replay.complete(nowMs)
     }
 
-    /** A record that can be read in part only is replayed as far as that goes, and kept. */
+    /** Replays the round in [entry]. If parts of the record are unreadable, the rest is replayed and the record is kept. */
     private fun replayRound(
         entry: Entry,
         nowMs: Long,
@@ -153,7 +154,7 @@
         val record =
             RoundCodec.decode(entry.data) { (job) ->
                 keep = true
-                Log.error("${entry.key}: what the round of revision ${entry.revision} records of ${job ?: "some job"} cannot be read; it is kept")
+                Log.error("${entry.key}: round of revision ${entry.revision} is unreadable for ${job ?: "an unknown job"}; the record is kept")
                 if (job == null) scheduler.replay.unreadableRound(nowMs) else scheduler.replay.unreadableJob(job)
             }
         scheduler.replay.round(entry.key.removePrefix(keys.rounds), record, entry.revision, nowMs, keep)
--- a/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
+++ b/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
@@ -5,7 +5,7 @@
 import mintfield.core.model.Heartbeat
 import mintfield.io.loop.EventLoop
 
-/** By which way heartbeats reach this leader: straight from the worker, or relayed by a peer. */
+/** Tracks whether workers' heartbeats reach this leader directly or relayed by a peer, and decides which workers should connect directly. */
 class WorkerRoutes(
     private val loop: EventLoop,
     private val cluster: Cluster,
@@ -15,22 +15,22 @@
     /** Machines whose first heartbeat to this leader was relayed. */
     private val firstSeenRelayed = HashSet<String>()
 
-    /** Whether the worker has sent this leader a heartbeat before. One that has not should be answered before it is redirected. */
-    fun hasHeardFrom(heartbeat: Heartbeat): Boolean = lastContactAtMs(heartbeat) > 0
+    /** Whether this leader has received an earlier heartbeat of the worker. The first one should get a response, not a redirect. */
+    fun hasSeenWorker(heartbeat: Heartbeat): Boolean = lastContactAtMs(heartbeat) > 0
 
     /** Whether the worker's last heartbeat was relayed by a peer. */
     fun wasRelayed(heartbeat: Heartbeat): Boolean = cluster.machines[heartbeat.machine]?.directRoute?.relayed ?: false
 
-    /** A heartbeat has come straight from its worker: the route from its zone works. */
+    /** Records that [heartbeat] came directly from its worker, so that the route from its zone works. */
     fun directHeartbeat(heartbeat: Heartbeat) = directRouteRecovery.directHeartbeat(heartbeat.zone, loop.nowMs())
 
     /**
-     * Whether a worker whose [heartbeat] was relayed should connect to this leader itself: it may never have tried, or can do so
-     * again. The first heartbeat to this leader is answered at once and the next one redirected: after a failover the worker may
-     * have used up most of its lease at controllers that did not answer.
+     * Whether a worker whose [heartbeat] was relayed should connect to this leader directly: it may not have tried yet, or the route may
+     * work again. The first heartbeat to this leader gets a response at once and only the next one a redirect, because after a failover
+     * the worker may have spent most of its lease on controllers that did not respond.
      */
     fun shouldConnectDirectly(heartbeat: Heartbeat): Boolean {
-        if (!hasHeardFrom(heartbeat)) {
+        if (!hasSeenWorker(heartbeat)) {
             firstSeenRelayed.add(heartbeat.machine)
             return false
         }
--- a/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
+++ b/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
@@ -16,13 +16,13 @@
 import mintfield.io.store.ScaleOutIntentCodec
 import mintfield.io.store.ZoneFenceCodec
 
-/** Translates the scheduler's writes to keys and values of the state service. */
+/** Encodes the scheduler's writes as keys and values of the state service. */
 class WriteEncoder(
     private val keys: LeaderKeys,
     private val limits: StateLimitsInForce,
     private val tenure: LeaderTenure,
 ) {
-    /** The preconditions of [write] besides that on the leader key. */
+    /** The preconditions of [write], without the one on the leader key. */
     fun preconditionsOf(write: Write): List<Precondition> = write.guardedJobs.map { Precondition(Keys.live(it.id), it.revision) }
 
     /** The keys that [write] puts and deletes. */
--- a/src/main/kotlin/mintfield/app/leader/WritePacer.kt
+++ b/src/main/kotlin/mintfield/app/leader/WritePacer.kt
@@ -7,15 +7,15 @@
 import mintfield.io.loop.RateLimiter
 
 /**
- * How many writes a leader may send now: its part of the rate that the state service permits, and less of it while users wait for
- * writes of their own.
+ * Limits the rate of a leader's writes to its part of the rate that the state service permits, and to a smaller part while users' writes
+ * wait.
  */
 class WritePacer(
     private val loop: EventLoop,
     private val settings: Settings,
     private val limits: StateLimitsInForce,
 ) {
-    /** This leader's part of the permitted writes per second; the leaders of the other shards write as well. */
+    /** The permitted writes per second, divided equally among the leaders of all shards. */
     private val permittedWritesPerS: Double
         get() {
             val shards = settings.operator.sharding?.shards
@@ -26,10 +26,10 @@
     private var limitsApplied = limits.current
     private var yieldUntilMs = 0L
 
-    /** Whether writes of users have priority at the moment. */
+    /** Whether users' writes currently have priority. */
     val isYielding: Boolean get() = yieldUntilMs > 0
 
-    /** The number of writes that the next transaction may contain, as far as the pace is concerned. */
+    /** The number of writes that the rate permits in the next transaction. */
     fun available(): Int {
         applyLimits()
         if (isYielding && loop.nowMs() > yieldUntilMs) {
@@ -39,16 +39,16 @@
         return rateLimiter.available.toInt()
     }
 
-    /** Counts [count] writes that are sent now. */
-    fun take(count: Int) = rateLimiter.take(count.toDouble())
+    /** Counts [count] writes that are sent now against the rate. */
+    fun recordWrites(count: Int) = rateLimiter.take(count.toDouble())
 
-    /** Writes of users wait for the state service: leaves them room for a while. */
+    /** Lowers the rate for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the state service. */
     fun yieldToUsers() {
         yieldUntilMs = loop.nowMs() + StoreConstants.LEADER_YIELD_MS
         rateLimiter.rate = permittedWritesPerS * StoreConstants.LEADER_WRITE_FRACTION_YIELDING
     }
 
-    /** The limits in force may have become lower, by what another component of this controller has learned from the state service. */
+    /** Applies the limits in force, which another component of this controller may have lowered after a response of the state service. */
     private fun applyLimits() {
         if (limitsApplied == limits.current) return
         limitsApplied = limits.current
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -63,7 +63,7 @@
 
     private fun leaderStatus(status: PeerStatus) {
         progress.received(status)
-        if (status.term > 0) handler.peerLeads(status.member, LeaderElections.ONLY, status.term)
+        if (status.term > 0) handler.peerLeads(status.member, LeaderElections.UNSHARDED, status.term)
         for (shardStatus in status.shards) {
             handler.peerLeads(status.member, shardStatus.shard, shardStatus.term)
             shardStatus.load()?.let { handler.peerLoad(shardStatus.shard, it) }
--- a/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
@@ -75,12 +75,12 @@
             storeServes = health.isStoreServing,
             leading = terms.isNotEmpty(),
             progress = page,
-            term = terms[LeaderElections.ONLY] ?: 0,
+            term = terms[LeaderElections.UNSHARDED] ?: 0,
             congested = local.isCongested(),
             readIncarnation = incarnation,
             readNext = next,
             jobs = if (page.size < progress.size) progress.size else 0,
-            shards = terms.filterKeys { it != LeaderElections.ONLY }.map { (shard, term) -> ShardLeaderStatus.of(shard, term, local.loadOf(shard)) },
+            shards = terms.filterKeys { it != LeaderElections.UNSHARDED }.map { (shard, term) -> ShardLeaderStatus.of(shard, term, local.loadOf(shard)) },
             generation = Generation.CURRENT,
         )
     }
--- a/src/main/kotlin/mintfield/app/replica/FreshnessCheck.kt
+++ b/src/main/kotlin/mintfield/app/replica/FreshnessCheck.kt
@@ -10,33 +10,33 @@
 import mintfield.io.loop.Log
 
 /**
- * Brings the replica up to date for many callers with few requests: each check serves all who were waiting when it was sent, and
- * checks are [gapMs] apart. A caller never relies on a check that was sent before its call, so reads are linearizable.
+ * Brings the replica up to date for many callers with few requests: each check serves all callers that were waiting when it was sent, and
+ * successive checks are [gapMs] apart. A caller never relies on a check that was sent before its call, so reads are linearizable.
  */
 internal class FreshnessCheck(
     private val scope: CoroutineScope,
     private val gapMs: Long,
-    /** Brings the replica up to date; false without an answer of the state service. */
+    /** Brings the replica up to date; false if the state service does not respond. */
     private val check: suspend () -> Boolean,
 ) {
     private var waiters = ArrayList<CompletableDeferred<Boolean>>()
     private var isRunning = false
 
-    /** Waits for a check that is sent after this call; false if it fails, or does not end in time. */
+    /** Waits for a check that is sent after this call; false if the check fails or times out. */
     suspend fun await(): Boolean {
-        val answer = CompletableDeferred<Boolean>()
-        waiters.add(answer)
+        val result = CompletableDeferred<Boolean>()
+        waiters.add(result)
         if (!isRunning) {
             isRunning = true
-            scope.launch { checkWhileWanted() }
+            scope.launch { serveWaiters() }
         }
-        return withTimeoutOrNull(UserApiConstants.QUERY_TIMEOUT_MS) { answer.await() } ?: false
+        return withTimeoutOrNull(UserApiConstants.QUERY_TIMEOUT_MS) { result.await() } ?: false
     }
 
-    private suspend fun checkWhileWanted() {
+    private suspend fun serveWaiters() {
         try {
             while (waiters.isNotEmpty()) {
-                // Only who waited before a check was sent may rely on it.
+                // Only callers that were waiting before a check was sent may rely on it.
                 val batch = waiters
                 waiters = ArrayList()
                 val succeeded = checkSafely()
@@ -48,14 +48,14 @@
         }
     }
 
-    @Suppress("TooGenericExceptionCaught") // Whatever has failed, those who wait have to be answered.
+    @Suppress("TooGenericExceptionCaught") // After any failure, the waiting callers must get a result.
     private suspend fun checkSafely(): Boolean =
         try {
             check()
         } catch (e: CancellationException) {
             throw e
         } catch (e: RuntimeException) {
-            Log.error("check of the jobs failed: ${e.message}")
+            Log.error("freshness check of the job replica failed: ${e.message}")
             false
         }
 }
--- a/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
@@ -11,7 +11,7 @@
 import mintfield.io.store.Keys
 import mintfield.io.store.Page
 
-/** Reads jobs from entries and changes of the state service. A record that cannot be read affects neither the others nor its own job's users. */
+/** Decodes jobs from entries and changes of the state service. An unreadable record does not affect other jobs, and its own job stays pending. */
 internal class JobRecordReader(
     private val replica: JobReplica,
     private val recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
@@ -23,7 +23,7 @@
             id to record(id, entry.data, entry.revision)
         }
 
-    /** What [change] means for a job; null if it concerns none, or a final state that cannot be read. */
+    /** Converts [change] to the change of a job; null if it concerns no job, or if its final state was deleted or is unreadable. */
     fun jobChange(change: Change): JobChange? =
         when {
             change.key.startsWith(Keys.LIVE) -> liveChange(change.key.removePrefix(Keys.LIVE), change)
@@ -54,11 +54,11 @@
     ): JobRecord {
         val job = parse(id, data, revision)
         if (job != null) return JobRecord.Readable(job)
-        if (!replica.isUnreadable(id, revision)) Log.error("$id: its record of revision $revision cannot be read; it is kept and called pending")
+        if (!replica.isUnreadable(id, revision)) Log.error("$id: record of revision $revision is unreadable; it is kept and the job is reported as pending")
         return JobRecord.Unreadable(revision)
     }
 
-    @Suppress("TooGenericExceptionCaught") // Whatever one record makes the parser throw must not stop the reading of the others.
+    @Suppress("TooGenericExceptionCaught") // An exception that the parser throws for one record must not prevent the others from being read.
     private fun parse(
         id: String,
         data: Map<String, Any?>,
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -14,18 +14,18 @@
 import mintfield.io.store.StoreResult
 
 /**
- * Keeps this process's [JobReplica] in step with the state service. The replica may lag behind; [current] brings it up to the time
- * of the call, with one request for all who wait.
+ * Keeps this process's [JobReplica] in sync with the state service. The replica may lag behind; [awaitCurrent] brings it up to date with
+ * the time of the call, with one request for all waiting callers.
  */
 class JobReplicator(
     private val store: StoreClient,
     scope: CoroutineScope,
-    /** Milliseconds between two checks for users. */
+    /** Time between two freshness checks on behalf of users, in milliseconds. */
     checkGapMs: Long,
     private val nowMs: () -> Long,
     recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
 ) {
-    private enum class CatchUp { CURRENT, HISTORY_LOST, NO_ANSWER }
+    private enum class CatchUp { CURRENT, HISTORY_LOST, NO_RESPONSE }
 
     private val replica = JobReplica()
     private val reader = JobRecordReader(replica, recomputeCompatibleTypes)
@@ -35,16 +35,16 @@
     /** The unfinished jobs, by id. */
     val live: Map<String, AcceptedJob> get() = replica.live
 
-    /** Whether the jobs have been read. */
+    /** Whether all unfinished jobs have been read from the state service. */
     val loaded: Boolean get() = replica.loaded
 
-    /** Which unfinished jobs depend on which others. */
+    /** The dependencies of the unfinished jobs. */
     val dependencies: DependencyGraph get() = replica.dependencies
 
-    /** Notified of changes of jobs: one for each leader in this process. */
+    /** Listeners for job changes: one for each leader in this process. */
     val listeners = LinkedHashSet<JobListener>()
 
-    /** Notified when the replica shows everything that had happened by a moment, in steady milliseconds. */
+    /** Called with the time, in milliseconds of the monotonic clock, up to which the replica now shows every change. */
     var onComplete: (Long) -> Unit = {}
 
     init {
@@ -60,29 +60,29 @@
             }
     }
 
-    /** What this process knows of the job [id] now; null if nothing. */
+    /** The state of job [id] in the replica, which may lag behind; null if the job is unknown. */
     fun known(id: String): KnownJob? = replica.known(id)
 
-    /** Keeps the final [state] of job [id], which the state service holds. */
+    /** Records the final [state] of job [id], which must be committed to the state service already. */
     fun ended(
         id: String,
         state: FinalState,
     ) = replica.ended(id, state)
 
-    /** True once the replica shows everything that had happened in the state service when this was called; false without an answer. */
-    suspend fun current(): Boolean = freshness.await()
+    /** Waits until the replica shows every change made in the state service before the call; false if the state service does not respond. */
+    suspend fun awaitCurrent(): Boolean = freshness.await()
 
-    /** Looks up the predecessors of job [id], direct and indirect, of which nothing is known; false if the state service does not answer. */
-    suspend fun resolveBefore(id: String): Boolean = predecessors.resolveBefore(id)
+    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the state service does not respond. */
+    suspend fun resolvePredecessorsOf(id: String): Boolean = predecessors.resolvePredecessorsOf(id)
 
-    /** Follows changes as they come, until cancelled. */
+    /** Applies changes as the state service publishes them, until cancelled. */
     suspend fun follow() {
         while (true) {
             if (!loaded && !load()) {
                 delay(StoreConstants.STORE_RETRY_MS)
                 continue
             }
-            if (catchUp(StoreConstants.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_ANSWER) delay(StoreConstants.STORE_RETRY_MS)
+            if (catchUp(StoreConstants.JOBS_WATCH_MS, urgent = true) == CatchUp.NO_RESPONSE) delay(StoreConstants.STORE_RETRY_MS)
         }
     }
 
@@ -91,18 +91,18 @@
         return when (catchUp(waitMs = 0)) {
             CatchUp.CURRENT -> true
             CatchUp.HISTORY_LOST -> check()
-            CatchUp.NO_ANSWER -> false
+            CatchUp.NO_RESPONSE -> false
         }
     }
 
-    /** Applies all changes since the replica's revision, after waiting [waitMs] at the most for one to come. */
+    /** Applies all changes since the replica's revision. Waits at most [waitMs] for the first one. */
     private suspend fun catchUp(
         waitMs: Long,
         urgent: Boolean = false,
     ): CatchUp {
         val sentAtMs = nowMs()
         val after = replica.revision
-        val changes = (store.watch(Keys.JOBS, after, waitMs, urgent) as? StoreResult.Ok)?.value ?: return CatchUp.NO_ANSWER
+        val changes = (store.watch(Keys.JOBS, after, waitMs, urgent) as? StoreResult.Ok)?.value ?: return CatchUp.NO_RESPONSE
         if (changes.tooOld) {
             replica.historyLost(after)
             return CatchUp.HISTORY_LOST
@@ -113,7 +113,7 @@
         return CatchUp.CURRENT
     }
 
-    /** Reads all unfinished jobs; changes after the first page come by the next watch. False without an answer. */
+    /** Reads all unfinished jobs; false if the state service does not respond. The next watch returns the changes made after the first page. */
     private suspend fun load(): Boolean {
         val sentAtMs = nowMs()
         replica.beginSnapshot().use { snapshot ->
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -11,7 +11,7 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
-/** Looks up how those predecessors ended that had ended before this process read the unfinished jobs. */
+/** Reads the final states of predecessors that had ended before this process read the unfinished jobs. */
 internal class PredecessorResolver(
     private val store: StoreClient,
     private val scope: CoroutineScope,
@@ -19,7 +19,7 @@
 ) {
     private var isRunning = false
 
-    /** Looks up all predecessors that are unresolved, in the background; does nothing if that is under way. */
+    /** Looks up all unresolved predecessors in the background; does nothing if a lookup is already running. */
     fun resolveAll() {
         if (isRunning || replica.dependencies.unresolved.isEmpty()) return
         isRunning = true
@@ -35,18 +35,18 @@
         }
     }
 
-    /** Looks up the unresolved predecessors of job [id], direct and indirect; false if the state service does not answer. */
-    suspend fun resolveBefore(id: String): Boolean = replica.dependencies.unresolvedBefore(id).all { resolve(it) }
+    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the state service does not respond. */
+    suspend fun resolvePredecessorsOf(id: String): Boolean = replica.dependencies.unresolvedBefore(id).all { resolve(it) }
 
-    /** Reads the final state of the predecessor [id]; false without an answer. */
+    /** Reads the final state of the predecessor [id]; false if the state service does not respond. */
     private suspend fun resolve(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
         val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
         if (state != null) {
             replica.ended(id, state)
         } else if (id in replica.dependencies.unresolved) {
-            // Its record may have come while the final state was read; if not, nothing shows how it ended.
-            Log.error("$id, on which other jobs depend, has neither a record nor a final state that can be read: they wait")
+            // The job's record may have arrived while its final state was read. If not, it is unknown how the job ended.
+            Log.error("$id: neither a record nor a readable final state found; the jobs that depend on it wait")
             replica.dependencies.recordMissing(id)
         }
         return true
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
@@ -41,7 +41,7 @@
         transaction: AssignmentTransaction,
     ) {
         val writes = transaction.blocks.map { (number, block) -> KeyWrite.Put(Keys.assignments(number), AssignmentCodec.write(block.content)) }
-        leader.wrote(writes.size)
+        leader.recordWrites(writes.size)
         when (val result = store.txn(preconditions(transaction), writes, urgent = true)) {
             is StoreResult.Unknown -> {
                 agent.unanswered(transaction)
--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
@@ -27,5 +27,5 @@
         return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::encodeAnswers)
     }
 
-    private fun localLeader(shard: String): ShardLeader? = elections().member(shard)?.leader?.shardLeader
+    private fun localLeader(shard: String): ShardLeader? = elections().ofShard(shard)?.leader?.shardLeader
 }
--- a/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
@@ -17,7 +17,7 @@
     suspend fun run() {
         while (true) {
             delay(PeerConstants.HEALTH_CHECK_MS)
-            for (member in elections.members) transferIfDue(member)
+            for (member in elections.all) transferIfDue(member)
         }
     }
 
