--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -173,7 +173,7 @@
     }
 
     /**
-     * Reads the outcome of a claim that got no response: it is won if the key was written by this process and is attached to [lease]. If
+     * Determines the outcome of a claim that got no response. The claim is won if the key was written by this process and is attached to [lease]. If
      * the key is attached to another lease, an earlier claim of this process was applied late. Nobody renews that lease, so a leader that
      * relied on it would continue after the lease has expired, concurrently with the next leader.
      */
--- a/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/mintfield/app/heartbeat/HeartbeatEndpoint.kt
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Responds to a heartbeat after the leader did not respond to its relay. If all other peers are unreachable as well, a redirect would
+     * Responds to a heartbeat that was relayed to the leader without a response. If all other peers are unreachable as well, a redirect would
      * cost the worker its lease, and a new leader will be elected soon, most likely in this process, so the heartbeat waits for it.
      */
     private suspend fun handleUnresponsiveLeader(
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -122,7 +122,7 @@
         launchComponent("job replica") { replicator.follow() }
     }
 
-    /** Runs [work] in a coroutine of this leader. If it fails, the leader resigns, since it cannot work without any of its components. */
+    /** Runs [work] in a coroutine of this leader. If it fails, the leader resigns rather than continue without one of its components. */
     @Suppress("TooGenericExceptionCaught") // After any failure, including a bug, another leader has to take over.
     private fun launchComponent(
         name: String,
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -23,8 +23,8 @@
 
 /**
  * Restores the state of a new leader's scheduler from the records of earlier leaders (zone fences, scale-out intents, rounds and learned
- * estimates), the jobs, and the cloud's machine types and machine list. Failed requests are repeated until they succeed, except that for the
- * machine list.
+ * estimates), the jobs, and the cloud's machine types and machine list. Failed requests are repeated until they succeed; only the machine
+ * list is not requested again.
  */
 class Replay(
     private val loop: EventLoop,
--- a/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
+++ b/src/main/kotlin/mintfield/app/leader/WorkerRoutes.kt
@@ -21,7 +21,7 @@
     /** Whether the worker's last heartbeat was relayed by a peer. */
     fun wasRelayed(heartbeat: Heartbeat): Boolean = cluster.machines[heartbeat.machine]?.directRoute?.relayed ?: false
 
-    /** Records that [heartbeat] came directly from its worker, so that the route from its zone works. */
+    /** Records that [heartbeat] came directly from its worker, which shows that the route from its zone works. */
     fun directHeartbeat(heartbeat: Heartbeat) = directRouteRecovery.directHeartbeat(heartbeat.zone, loop.nowMs())
 
     /**
