--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -26,7 +26,7 @@
     override fun isCongested() = userWrites.congested
 
     override fun loadOf(shard: String): ShardLoad? {
-        val shardLeader = elections.member(shard)?.leader?.shardLeader
+        val shardLeader = elections.ofShard(shard)?.leader?.shardLeader
         val load = shardLeader?.load() ?: return null
         // The leaders of other shards in this process receive no status message of this controller, so they get the load here.
         sharding?.loadReported(shard, load)
--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -47,7 +47,7 @@
     }
 
     private suspend fun lookUpCurrent(id: String): JobLookup {
-        if (isStoreUnreachable() || !replicator.current() || !replicator.resolveBefore(id)) return JobLookup.Unavailable
+        if (isStoreUnreachable() || !replicator.awaitCurrent() || !replicator.resolvePredecessorsOf(id)) return JobLookup.Unavailable
         val known = replicator.known(id)
         if (known is KnownJob.Ended || known is KnownJob.Live) return JobLookup.Found(known)
         // Without a readable live record the job may have ended long ago, so its final state is read.
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -27,7 +27,7 @@
 
     /** Loads those of the jobs [ids] that were accepted into the replica; false if the store cannot be read. */
     private suspend fun loadAll(ids: List<String>): Boolean {
-        if (ids.any { replicator.known(it) == null } && !replicator.current()) return false
+        if (ids.any { replicator.known(it) == null } && !replicator.awaitCurrent()) return false
         return ids.all { replicator.known(it) != null || readFinalState(it) }
     }
 
