--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -41,7 +41,7 @@
 
     /** The machine types, by name; empty until they have been read. */
     val types = LinkedHashMap<String, MachineType>()
-    private val workers = WorkerClients(ConnectionLimits(settings).pooledWorkerConnections) { HttpClient(loop, group, it, maxIdle = 1) }
+    private val workers = WorkerClients(ConnectionLimits(settings).pooledWorkerConnections) { HttpClient(loop, group, it, maxIdleConnections = 1) }
 
     /** Asks the cloud for the machine types, once; [types] stays as it is if that fails. */
     suspend fun readTypes() {
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -124,7 +124,7 @@
         if (pacedFor == limits.current) return
         pacedFor = limits.current
         maxOps = minOf(maxOps, pacedFor.txnOps)
-        rateLimiter.limit(pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
+        rateLimiter.setLimits(pacedFor.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, pacedFor.txnOps.toDouble())
     }
 
     private fun takeBatch(): List<Change> {
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
@@ -6,8 +6,8 @@
 import mintfield.core.DirectCall
 import mintfield.core.Scheduler
 import mintfield.core.constants.WorkerConstants
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.Log
 import mintfield.io.worker.CommandCodec
@@ -42,13 +42,13 @@
         val client = services.worker(call.address) ?: return scheduler.directCallUnanswered(call, sent = false, loop.nowMs())
         val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
         when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
-            is Reply.Answer -> take(reply, call)
-            is Reply.None -> scheduler.directCallUnanswered(call, reply.sent, loop.nowMs())
+            is HttpResult.Received -> take(reply, call)
+            is HttpResult.NoResponse -> scheduler.directCallUnanswered(call, reply.sent, loop.nowMs())
         }
     }
 
     private fun take(
-        answer: Reply.Answer,
+        answer: HttpResult.Received,
         call: DirectCall,
     ) {
         val isRefused = answer.status == HttpStatus.CONFLICT
--- a/src/main/kotlin/mintfield/app/leader/WritePacer.kt
+++ b/src/main/kotlin/mintfield/app/leader/WritePacer.kt
@@ -52,6 +52,6 @@
     private fun applyLimits() {
         if (limitsApplied == limits.current) return
         limitsApplied = limits.current
-        rateLimiter.limit(permittedWritesPerS * StoreConstants.LEADER_WRITE_FRACTION, limitsApplied.txnOps.toDouble())
+        rateLimiter.setLimits(permittedWritesPerS * StoreConstants.LEADER_WRITE_FRACTION, limitsApplied.txnOps.toDouble())
     }
 }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -11,8 +11,8 @@
 import mintfield.core.model.Settings
 import mintfield.io.http.HttpClient
 import mintfield.io.http.HttpMessage
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.http.Response
 import mintfield.io.loop.EventLoop
 import mintfield.io.peer.RelayAnswer
@@ -78,7 +78,7 @@
         body: ByteArray,
     ): ByteArray? {
         val reply = clients[peer]?.call("POST", PeerPaths.FOREIGN_TASKS, body, PeerConstants.PEER_TIMEOUT_MS)
-        return (reply as? Reply.Answer)?.takeIf { it.status == HttpStatus.OK }?.body
+        return (reply as? HttpResult.Received)?.takeIf { it.status == HttpStatus.OK }?.body
     }
 
     /** Sends [bytes] once one of the lanes to [peer] is free; null without an answer within [timeoutMs], the wait included. */
@@ -90,7 +90,7 @@
         timeoutMs: Long,
     ): RelayAnswer? {
         val reply = withTimeoutOrNull(timeoutMs) { lanes.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
-        if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return null
+        if (reply !is HttpResult.Received || reply.status != HttpStatus.OK) return null
         lastAnswerAtMs[peer] = loop.nowMs()
         return decodeOrNull(RelayAnswer.serializer(), reply.body)
     }
--- a/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
@@ -12,8 +12,8 @@
 import mintfield.core.model.Settings
 import mintfield.core.upgrade.Generation
 import mintfield.io.http.HttpClient
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.loop.EventLoop
 import mintfield.io.peer.PeerStatus
 import mintfield.io.peer.PeerStatusResponse
@@ -56,13 +56,13 @@
         val sentAtMs = loop.nowMs()
         val bytes = ProtoBuf.encodeToByteArray(PeerStatus.serializer(), statusFor(peer))
         val reply = client.call("POST", PeerPaths.STATUS, bytes, PeerConstants.PEER_TIMEOUT_MS)
-        if (reply is Reply.Answer && reply.status == HttpStatus.OK) {
+        if (reply is HttpResult.Received && reply.status == HttpStatus.OK) {
             val response = decodeOrNull(PeerStatusResponse.serializer(), reply.body) ?: return
             val page = CancellationPage(response.incarnation, response.from, response.cancelled, response.total)
             local.cancellationsReceived(peer, page, sentAtMs)
         }
         // No answer so early is a refused connection, not a timeout.
-        if (reply is Reply.None && loop.nowMs() - sentAtMs < PeerConstants.PEER_TIMEOUT_MS / 2) health.connectionRefused(peer)
+        if (reply is HttpResult.NoResponse && loop.nowMs() - sentAtMs < PeerConstants.PEER_TIMEOUT_MS / 2) health.connectionRefused(peer)
     }
 
     private fun statusFor(peer: String): PeerStatus {
--- a/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
@@ -5,9 +5,9 @@
 import mintfield.app.Controller
 import mintfield.io.http.HttpClient
 import mintfield.io.http.HttpMessage
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpServer
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.http.Response
 import mintfield.io.loop.EventLoop
 import mintfield.io.loop.scope
@@ -86,7 +86,7 @@
         val client = client(controller)
         while (true) {
             val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_MS)
-            if (reply is Reply.Answer && reply.status == HttpStatus.OK) worker.execute(reply.json)
+            if (reply is HttpResult.Received && reply.status == HttpStatus.OK) worker.execute(reply.json)
             delay(HEARTBEAT_MS)
         }
     }
--- a/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
+++ b/src/main/kotlin/mintfield/io/cloud/CloudWire.kt
@@ -4,7 +4,7 @@
 import mintfield.core.fleet.ListedMachine
 import mintfield.core.fleet.MachineStage
 import mintfield.core.model.MachineType
-import mintfield.io.http.Reply
+import mintfield.io.http.HttpResult
 import mintfield.io.json.Json
 import mintfield.io.json.asList
 import mintfield.io.json.asMap
@@ -12,7 +12,7 @@
 import mintfield.io.json.double
 import mintfield.io.json.string
 
-/** The bodies of the cloud's requests and responses in the words of its protocol. What a response does not name has a default. */
+/** Encodes request bodies and decodes response bodies of the cloud's protocol. Missing optional fields of a response get default values. */
 internal object CloudWire {
     private const val TYPES = "breeds"
     private const val TYPE_NAME = "sku"
@@ -39,7 +39,7 @@
     private const val STAGE_RUNNING = "running"
     private const val STAGE_FAILED = "failed"
 
-    /** Seconds since the machine was requested. */
+    /** Time since the machine was requested, in seconds. */
     private const val HELD_S = "heldS"
     private const val HAS_NEXT = "hasNext"
     private const val ERROR = "error"
@@ -48,9 +48,9 @@
     private const val DEFAULT_FETCH_GB_PER_S = 1.0
     private const val DEFAULT_BOOT_S = 60.0
 
-    /** The machine types in a response, without those that lack their name or size. */
-    fun types(answer: Reply.Answer): List<MachineType> =
-        answer.json[TYPES]
+    /** The machine types in a response, without those that lack a name, CPUs or memory. */
+    fun types(response: HttpResult.Received): List<MachineType> =
+        response.json[TYPES]
             .asList()
             .orEmpty()
             .mapNotNull { item -> item.asMap()?.let(::type) }
@@ -95,12 +95,12 @@
         }
 
     /** The names of the machines in a response. */
-    fun machines(answer: Reply.Answer): List<String> = names(answer.json[MACHINES])
+    fun machines(response: HttpResult.Received): List<String> = names(response.json[MACHINES])
 
     /** The page of the list of machines in a response. */
-    fun page(answer: Reply.Answer): MachinePage {
-        val machines = answer.json[MACHINES].asList().orEmpty()
-        return MachinePage(machines.mapNotNull { item -> item.asMap()?.let(::listed) }, hasNext = answer.json[HAS_NEXT] == true)
+    fun page(response: HttpResult.Received): MachinePage {
+        val machines = response.json[MACHINES].asList().orEmpty()
+        return MachinePage(machines.mapNotNull { item -> item.asMap()?.let(::listed) }, hasNext = response.json[HAS_NEXT] == true)
     }
 
     private fun listed(json: Map<String, Any?>): ListedMachine? {
@@ -115,14 +115,14 @@
         )
     }
 
-    private fun stageOf(word: String?): MachineStage =
-        when (word) {
+    private fun stageOf(name: String?): MachineStage =
+        when (name) {
             STAGE_STARTING -> MachineStage.BOOTING
             STAGE_RUNNING -> MachineStage.RUNNING
             STAGE_FAILED -> MachineStage.FAILED
             else -> MachineStage.UNKNOWN
         }
 
-    /** Whether a response says that there is no capacity. */
-    fun reportsNoCapacity(answer: Reply.Answer): Boolean = answer.json.string(ERROR) == ERROR_NO_CAPACITY
+    /** Whether a response reports a lack of capacity. */
+    fun reportsNoCapacity(response: HttpResult.Received): Boolean = response.json.string(ERROR) == ERROR_NO_CAPACITY
 }
--- a/src/main/kotlin/mintfield/io/http/Channels.kt
+++ b/src/main/kotlin/mintfield/io/http/Channels.kt
@@ -16,13 +16,13 @@
 import kotlin.coroutines.ContinuationInterceptor
 
 /**
- * Coroutine forms of the NIO.2 channel operations. Cancelling one closes its channel.
+ * Completion handler that resumes the coroutine waiting for a NIO.2 channel operation.
  *
- * Completions arrive as events of the loop that the coroutine runs on, and resume it within that event: a dispatch would queue each
- * operation a second time.
+ * Completions arrive as events of the loop on which the coroutine runs. The coroutine is resumed within the event: a dispatch would queue
+ * each operation a second time.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
-private class Resume<T> : CompletionHandler<T, CancellableContinuation<T>> {
+private class ResumingHandler<T> : CompletionHandler<T, CancellableContinuation<T>> {
     override fun completed(
         result: T,
         attachment: CancellableContinuation<T>,
@@ -36,18 +36,18 @@
     private fun dispatcher(continuation: CancellableContinuation<T>) = continuation.context[ContinuationInterceptor] as CoroutineDispatcher
 }
 
-private val resumeInt = Resume<Int>()
-private val resumeVoid = Resume<Void?>()
-private val resumeChannel = Resume<AsynchronousSocketChannel>()
+private val resumeInt = ResumingHandler<Int>()
+private val resumeVoid = ResumingHandler<Void?>()
+private val resumeChannel = ResumingHandler<AsynchronousSocketChannel>()
 
-/** Reads what has arrived [into] the buffer; returns the number of bytes, or -1 at the end of the stream. */
+/** Waits for data and reads it [into] the buffer. Returns the number of bytes, or -1 at the end of the stream. Cancellation closes the channel. */
 suspend fun AsynchronousSocketChannel.receive(into: ByteBuffer): Int =
     suspendCancellableCoroutine { continuation ->
         continuation.invokeOnCancellation { closeQuietly() }
         read(into, continuation, resumeInt)
     }
 
-/** Writes all remaining [bytes]. */
+/** Writes all remaining [bytes]. Cancellation closes the channel. */
 suspend fun AsynchronousSocketChannel.sendAll(bytes: ByteBuffer) {
     while (bytes.hasRemaining()) {
         suspendCancellableCoroutine { continuation ->
@@ -57,30 +57,30 @@
     }
 }
 
-/** Connects. */
-suspend fun AsynchronousSocketChannel.open(to: SocketAddress) {
+/** Connects to [address]. Cancellation closes the channel. */
+suspend fun AsynchronousSocketChannel.connectTo(address: SocketAddress) {
     suspendCancellableCoroutine<Void?> { continuation ->
         continuation.invokeOnCancellation { closeQuietly() }
-        connect(to, continuation, resumeVoid)
+        connect(address, continuation, resumeVoid)
     }
 }
 
-/** Accepts the next connection; [start] runs the block that requests it. */
-suspend fun AsynchronousServerSocketChannel.next(start: (() -> Unit) -> Unit): AsynchronousSocketChannel =
+/** Accepts the next connection. [start] is called once and must run the block passed to it, which starts the operation. */
+suspend fun AsynchronousServerSocketChannel.acceptNext(start: (() -> Unit) -> Unit): AsynchronousSocketChannel =
     suspendCancellableCoroutine { continuation ->
         start { accept(continuation, resumeChannel) }
     }
 
-/** Closes the channel; that it is closed or broken already does not matter. */
+/** Closes the channel and ignores errors, also if it is already closed or broken. */
 fun AsynchronousSocketChannel.closeQuietly() {
     try {
         close()
     } catch (_: IOException) {
-        // Closing is all that was wanted.
+        // The channel is not used again, so a failed close has no consequences.
     }
 }
 
-/** [text], such as `10.0.0.1:8080`, as an address; null if it is none. Only IPv4 numbers, so that no name is ever looked up. */
+/** Parses an IPv4 address with a port, such as `10.0.0.1:8080`; null if [text] is not one. Host names are refused, so that none is looked up. */
 fun parseAddress(text: String): InetSocketAddress? {
     val port = text.substringAfterLast(':', "").toIntOrNull()?.takeIf { it in 1..MAX_PORT }
     val host = text.substringBeforeLast(':', "").takeIf { InetAddresses.isInetAddress(it) }
--- a/src/main/kotlin/mintfield/io/http/HttpClient.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpClient.kt
@@ -11,29 +11,29 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * Client for one host with a small pool of idle connections. Every call has a time limit; a call that fails on a pooled connection is
- * not repeated here, since only the caller knows whether it may be sent twice.
+ * HTTP/1.1 client for one host with a small pool of idle connections. Every call has a timeout. The client never retries a call, not even
+ * one that fails on a pooled connection, since only the caller knows whether a request may be sent twice.
  *
- * To be used on [loop] only. A cancelled call closes its connection.
+ * May be used on [loop] only. Cancelling a call closes its connection.
  *
- * @property maxIdle connections that are kept for later calls
- * @property maxBody bytes of a response body above which the response is dropped
+ * @property maxIdleConnections maximum number of connections kept open for later calls
+ * @property maxBodyBytes maximum size of a response body; responses with longer bodies are dropped
  */
 class HttpClient(
     private val loop: EventLoop,
     private val group: AsynchronousChannelGroup,
     private val address: InetSocketAddress,
-    private val maxIdle: Int,
-    private val maxBody: Int = HttpConstants.MAX_RESPONSE_BYTES,
+    private val maxIdleConnections: Int,
+    private val maxBodyBytes: Int = HttpConstants.MAX_RESPONSE_BYTES,
 ) {
     private class Connection(
         val channel: AsynchronousSocketChannel,
         val parser: HttpParser,
         val input: ByteBuffer,
-        var usedAtMs: Long,
+        var lastUsedAtMs: Long,
     )
 
-    /** A call under way: its time limit closes whichever channel it has by then. */
+    /** A call in progress. Its timeout closes the channel that the call uses at that time, if any. */
     private class Call {
         var channel: AsynchronousSocketChannel? = null
         var sent = false
@@ -44,26 +44,26 @@
         }
     }
 
-    private val idle = ArrayDeque<Connection>()
+    private val idleConnections = ArrayDeque<Connection>()
     private val host = address.address.hostAddress + ":" + address.port
 
     /** Closes the pooled connections. */
     fun closeIdle() {
-        while (true) (idle.removeLastOrNull() ?: return).channel.closeQuietly()
+        while (true) (idleConnections.removeLastOrNull() ?: return).channel.closeQuietly()
     }
 
-    /** Sends a request and awaits the response for at most [timeoutMs] in all. */
+    /** Sends a request and waits for the response. [timeoutMs] covers the whole call, including connecting. */
     suspend fun call(
         method: String,
         path: String,
         body: ByteArray? = null,
         timeoutMs: Long,
-    ): Reply {
+    ): HttpResult {
         val pooled = takeIdle()
         val call = Call()
         call.channel = pooled?.channel
         val timer =
-            loop.after(timeoutMs) {
+            loop.schedule(timeoutMs) {
                 call.timedOut = true
                 call.closeChannel()
             }
@@ -71,10 +71,10 @@
             return exchange(call, pooled ?: connect(call), message(head(method, path, body), body ?: NO_BODY))
         } catch (e: IOException) {
             call.closeChannel()
-            return Reply.None(call.sent, if (call.timedOut) "no answer in $timeoutMs ms" else e.toString())
+            return HttpResult.NoResponse(call.sent, if (call.timedOut) "no response within $timeoutMs ms" else e.toString())
         } catch (e: HttpFault) {
             call.closeChannel()
-            return Reply.None(call.sent, "bad answer: ${e.message}", tooLarge = e.status == HttpStatus.CONTENT_TOO_LARGE)
+            return HttpResult.NoResponse(call.sent, "invalid response: ${e.message}", tooLarge = e.status == HttpStatus.CONTENT_TOO_LARGE)
         } catch (e: CancellationException) {
             call.closeChannel()
             throw e
@@ -87,8 +87,8 @@
         val channel = AsynchronousSocketChannel.open(group)
         call.channel = channel
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-        channel.open(address)
-        val parser = HttpParser(HttpConstants.MAX_HEAD_BYTES, maxBody, response = true)
+        channel.connectTo(address)
+        val parser = HttpParser(HttpConstants.MAX_HEAD_BYTES, maxBodyBytes, response = true)
         return Connection(channel, parser, ByteBuffer.allocate(HttpConstants.CLIENT_READ_BYTES), loop.nowMs())
     }
 
@@ -112,24 +112,24 @@
         call: Call,
         connection: Connection,
         request: ByteBuffer,
-    ): Reply.Answer {
+    ): HttpResult.Received {
         call.sent = true
         connection.channel.sendAll(request)
         val response = receive(connection)
-        if (response.keepAlive && idle.size < maxIdle) {
-            connection.usedAtMs = loop.nowMs()
-            idle.addLast(connection)
+        if (response.keepAlive && idleConnections.size < maxIdleConnections) {
+            connection.lastUsedAtMs = loop.nowMs()
+            idleConnections.addLast(connection)
         } else {
             connection.channel.closeQuietly()
         }
-        return Reply.Answer(response.status, response.body)
+        return HttpResult.Received(response.status, response.body)
     }
 
     private suspend fun receive(connection: Connection): HttpMessage {
         while (true) {
             connection.parser.next()?.let { return it }
             connection.input.clear()
-            if (connection.channel.receive(connection.input) < 0) throw IOException("closed")
+            if (connection.channel.receive(connection.input) < 0) throw IOException("connection closed before the response was complete")
             connection.input.flip()
             connection.parser.feed(connection.input)
         }
@@ -137,9 +137,9 @@
 
     private fun takeIdle(): Connection? {
         while (true) {
-            val connection = idle.removeLastOrNull() ?: return null
-            // A connection that has been idle for long may have been dropped on the way without notice.
-            if (loop.nowMs() - connection.usedAtMs < HttpConstants.CLIENT_IDLE_TIMEOUT_MS) return connection
+            val connection = idleConnections.removeLastOrNull() ?: return null
+            // A connection that has been idle for long may have been dropped by the network without notice.
+            if (loop.nowMs() - connection.lastUsedAtMs < HttpConstants.CLIENT_IDLE_TIMEOUT_MS) return connection
             connection.channel.closeQuietly()
         }
     }
--- a/src/main/kotlin/mintfield/io/http/HttpFault.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpFault.kt
@@ -1,11 +1,11 @@
 package mintfield.io.http
 
 /**
- * A received message violates HTTP/1.1 or one of this program's limits.
+ * Thrown if a received message violates HTTP/1.1 or exceeds a limit of the parser.
  *
- * It carries no stack trace: it is thrown for whatever a peer sends and says all there is to say in its message.
+ * Has no stack trace, since any peer can cause it at will and the message already describes the cause. A server sends the message to the client.
  *
- * @property status the status code with which a server answers it
+ * @property status the status code of the server's response
  */
 class HttpFault(
     val status: Int,
--- a/src/main/kotlin/mintfield/io/http/HttpParser.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpParser.kt
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer
 
 /**
- * Incremental parser of HTTP/1.1 messages (RFC 9112). It is fed with bytes as they arrive and yields a message as soon as one is
- * complete. Limits on head and body are checked while reading, so that no peer can make it hold more.
+ * Incremental parser of HTTP/1.1 messages (RFC 9112). It is fed with bytes as they arrive and returns a message as soon as one is
+ * complete. The limits on head and body are checked while reading, so that a peer cannot make the parser buffer more.
  *
- * Not thread-safe: an instance belongs to one connection.
+ * Not thread-safe: each connection has its own instance.
  */
 class HttpParser(
-    private val maxHead: Int,
-    private val maxBody: Int,
+    private val maxHeadBytes: Int,
+    private val maxBodyBytes: Int,
     private val response: Boolean,
 ) {
-    private enum class State { HEAD, FIXED_BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER, WHOLE }
+    private enum class State { HEAD, FIXED_BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER, COMPLETE }
 
     private var state = State.HEAD
     private val buffer = LineBuffer()
@@ -23,34 +23,34 @@
     private var third = ""
     private var headers: Map<String, String> = emptyMap()
     private var body = NO_BYTES
-    private var filled = 0
-    private var missing = 0
+    private var receivedBodyBytes = 0
+    private var missingBodyBytes = 0
     private var trailerBytes = 0
 
-    /** Whether no byte of a further message has arrived. */
-    val idle: Boolean get() = state == State.HEAD && buffer.isEmpty
+    /** Whether no byte of the next message has arrived. */
+    val isIdle: Boolean get() = state == State.HEAD && buffer.isEmpty
 
-    /** Takes over all remaining [bytes]. */
+    /** Consumes all remaining [bytes]. */
     fun feed(bytes: ByteBuffer) = buffer.append(bytes)
 
     /**
      * The next complete message, or null if more bytes are needed.
      *
-     * @throws HttpFault if the bytes are no HTTP/1.1 message or exceed a limit; the connection cannot be used any further
+     * @throws HttpFault if the bytes are not an HTTP/1.1 message or exceed a limit; the connection is then unusable
      */
     fun next(): HttpMessage? {
         while (true) {
-            val moved =
+            val progressed =
                 when (state) {
-                    State.HEAD -> head()
-                    State.FIXED_BODY -> fixedBody()
-                    State.CHUNK_SIZE -> chunkSize()
-                    State.CHUNK_DATA -> chunkData()
-                    State.CHUNK_END -> chunkEnd()
-                    State.TRAILER -> trailer()
-                    State.WHOLE -> return take()
+                    State.HEAD -> parseHead()
+                    State.FIXED_BODY -> parseFixedBody()
+                    State.CHUNK_SIZE -> parseChunkLine()
+                    State.CHUNK_DATA -> parseChunkData()
+                    State.CHUNK_END -> parseChunkEnd()
+                    State.TRAILER -> parseTrailer()
+                    State.COMPLETE -> return takeMessage()
                 }
-            if (!moved) return null
+            if (!progressed) return null
         }
     }
 
@@ -60,38 +60,38 @@
         return true
     }
 
-    private fun take(): HttpMessage {
-        val whole = if (filled == body.size) body else body.copyOf(filled)
-        val message = HttpMessage(first, second, third, headers, whole)
+    private fun takeMessage(): HttpMessage {
+        val completeBody = if (receivedBodyBytes == body.size) body else body.copyOf(receivedBodyBytes)
+        val message = HttpMessage(first, second, third, headers, completeBody)
         body = NO_BYTES
-        filled = 0
+        receivedBodyBytes = 0
         moveTo(State.HEAD)
-        buffer.reclaim()
+        buffer.shrinkIfEmpty()
         return message
     }
 
-    private fun head(): Boolean {
+    private fun parseHead(): Boolean {
         buffer.skipLineBreaks() // Some clients send an empty line between messages.
         val headBytes = buffer.bytesToHeadEnd()
         if (headBytes < 0) {
-            if (buffer.size > maxHead) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large")
+            if (buffer.size > maxHeadBytes) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large")
             return false
         }
-        if (headBytes > maxHead) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large")
+        if (headBytes > maxHeadBytes) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too large")
         buffer.rescan()
         val sizeAfterHead = buffer.size - headBytes
-        startLine(checkNotNull(buffer.takeLine()))
+        parseStartLine(checkNotNull(buffer.takeLine()))
         readHeaders(sizeAfterHead)
-        return chooseBody()
+        return selectBodyFraming()
     }
 
-    private fun startLine(line: String) {
+    private fun parseStartLine(line: String) {
         val space = line.indexOf(' ')
         val secondSpace = if (space < 0) -1 else line.indexOf(' ', space + 1)
-        if (response) statusLine(line, space, secondSpace) else requestLine(line, space, secondSpace)
+        if (response) parseStatusLine(line, space, secondSpace) else parseRequestLine(line, space, secondSpace)
     }
 
-    private fun statusLine(
+    private fun parseStatusLine(
         line: String,
         space: Int,
         secondSpace: Int,
@@ -103,7 +103,7 @@
         if (second.length != STATUS_DIGITS || !second.all { it in '0'..'9' }) throw HttpFault(HttpStatus.BAD_REQUEST, "bad status")
     }
 
-    private fun requestLine(
+    private fun parseRequestLine(
         line: String,
         space: Int,
         secondSpace: Int,
@@ -115,60 +115,60 @@
         if (!second.startsWith("/")) throw HttpFault(HttpStatus.BAD_REQUEST, "bad path")
     }
 
-    /** Reads header lines until [sizeAfterHead] bytes are left. */
+    /** Parses header lines until [sizeAfterHead] bytes are left in the buffer. */
     private fun readHeaders(sizeAfterHead: Int) {
-        val found = HashMap<String, String>()
+        val fields = HashMap<String, String>()
         while (buffer.size > sizeAfterHead) {
             val text = checkNotNull(buffer.takeLine())
             if (text.isEmpty()) break
-            readHeader(text, found)
+            readHeader(text, fields)
         }
         buffer.discard(buffer.size - sizeAfterHead)
-        headers = found
+        headers = fields
     }
 
     private fun readHeader(
         text: String,
-        found: MutableMap<String, String>,
+        fields: MutableMap<String, String>,
     ) {
         val colon = text.indexOf(':')
         if (colon <= 0 || text[0] in BLANKS || text[colon - 1] == ' ') throw HttpFault(HttpStatus.BAD_REQUEST, "bad header")
         val name = text.substring(0, colon).lowercase()
         val value = text.substring(colon + 1).trim()
-        val before = found.put(name, value)
+        val before = fields.put(name, value)
         if (before != null && name == CONTENT_LENGTH && before != value) throw HttpFault(HttpStatus.BAD_REQUEST, "two lengths")
     }
 
-    private fun chooseBody(): Boolean {
-        val coding = headers[TRANSFER_ENCODING] ?: return chooseFixedBody()
+    private fun selectBodyFraming(): Boolean {
+        val coding = headers[TRANSFER_ENCODING] ?: return selectFixedBody()
         if (!coding.equals("chunked", ignoreCase = true)) throw HttpFault(HttpStatus.NOT_IMPLEMENTED, "unknown transfer coding")
         if (headers.containsKey(CONTENT_LENGTH)) throw HttpFault(HttpStatus.BAD_REQUEST, "length and transfer coding")
         body = ByteArray(INITIAL_CHUNKED_BODY_BYTES)
         return moveTo(State.CHUNK_SIZE)
     }
 
-    private fun chooseFixedBody(): Boolean {
-        val text = headers[CONTENT_LENGTH] ?: return moveTo(State.WHOLE)
+    private fun selectFixedBody(): Boolean {
+        val text = headers[CONTENT_LENGTH] ?: return moveTo(State.COMPLETE)
         if (text.isEmpty() || text.length > MAX_LENGTH_DIGITS || !text.all { it in '0'..'9' }) throw HttpFault(HttpStatus.BAD_REQUEST, "bad length")
         val length = text.toLong()
-        if (length > maxBody) throw HttpFault(HttpStatus.CONTENT_TOO_LARGE, "body too large")
+        if (length > maxBodyBytes) throw HttpFault(HttpStatus.CONTENT_TOO_LARGE, "body too large")
         body = if (length == 0L) NO_BYTES else ByteArray(length.toInt())
-        missing = length.toInt()
-        return moveTo(if (missing == 0) State.WHOLE else State.FIXED_BODY)
+        missingBodyBytes = length.toInt()
+        return moveTo(if (missingBodyBytes == 0) State.COMPLETE else State.FIXED_BODY)
     }
 
-    private fun copyBody(most: Int): Int {
-        val count = buffer.take(body, filled, most)
-        filled += count
+    private fun copyBody(maxBytes: Int): Int {
+        val count = buffer.take(body, receivedBodyBytes, maxBytes)
+        receivedBodyBytes += count
         return count
     }
 
-    private fun fixedBody(): Boolean {
-        missing -= copyBody(missing)
-        return missing == 0 && moveTo(State.WHOLE)
+    private fun parseFixedBody(): Boolean {
+        missingBodyBytes -= copyBody(missingBodyBytes)
+        return missingBodyBytes == 0 && moveTo(State.COMPLETE)
     }
 
-    private fun chunkSize(): Boolean {
+    private fun parseChunkLine(): Boolean {
         val line = buffer.takeLine()
         if (line == null) {
             if (buffer.size > MAX_CHUNK_LINE_BYTES) throw HttpFault(HttpStatus.BAD_REQUEST, "chunk line too long")
@@ -179,9 +179,9 @@
             trailerBytes = 0
             return moveTo(State.TRAILER)
         }
-        if (filled.toLong() + size > maxBody) throw HttpFault(HttpStatus.CONTENT_TOO_LARGE, "body too large")
-        if (filled + size > body.size) body = body.copyOf(maxOf(filled + size, minOf(body.size * 2, maxBody)))
-        missing = size
+        if (receivedBodyBytes.toLong() + size > maxBodyBytes) throw HttpFault(HttpStatus.CONTENT_TOO_LARGE, "body too large")
+        if (receivedBodyBytes + size > body.size) body = body.copyOf(maxOf(receivedBodyBytes + size, minOf(body.size * 2, maxBodyBytes)))
+        missingBodyBytes = size
         return moveTo(State.CHUNK_DATA)
     }
 
@@ -191,12 +191,12 @@
         return size ?: throw HttpFault(HttpStatus.BAD_REQUEST, "bad chunk size")
     }
 
-    private fun chunkData(): Boolean {
-        missing -= copyBody(missing)
-        return missing == 0 && moveTo(State.CHUNK_END)
+    private fun parseChunkData(): Boolean {
+        missingBodyBytes -= copyBody(missingBodyBytes)
+        return missingBodyBytes == 0 && moveTo(State.CHUNK_END)
     }
 
-    private fun chunkEnd(): Boolean {
+    private fun parseChunkEnd(): Boolean {
         val line = buffer.takeLine()
         if (line == null) {
             if (buffer.size > LINE_BREAK_BYTES) throw HttpFault(HttpStatus.BAD_REQUEST, "chunk does not end")
@@ -206,16 +206,16 @@
         return moveTo(State.CHUNK_SIZE)
     }
 
-    private fun trailer(): Boolean {
+    private fun parseTrailer(): Boolean {
         val sizeBefore = buffer.size
         val line = buffer.takeLine()
         if (line == null) {
-            if (trailerBytes + buffer.size > maxHead) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "trailer too large")
+            if (trailerBytes + buffer.size > maxHeadBytes) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "trailer too large")
             return false
         }
         trailerBytes += sizeBefore - buffer.size
-        if (trailerBytes > maxHead) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "trailer too large")
-        return if (line.isEmpty()) moveTo(State.WHOLE) else true
+        if (trailerBytes > maxHeadBytes) throw HttpFault(HttpStatus.HEADER_FIELDS_TOO_LARGE, "trailer too large")
+        return if (line.isEmpty()) moveTo(State.COMPLETE) else true
     }
 
     private companion object {
@@ -225,10 +225,10 @@
         const val TRANSFER_ENCODING = "transfer-encoding"
         const val STATUS_DIGITS = 3
 
-        /** Digits of a length that surely fit a `Long`. */
+        /** Maximum number of digits of a `Content-Length`. Any decimal number of this length fits a `Long`. */
         const val MAX_LENGTH_DIGITS = 18
 
-        /** Hexadecimal digits of a chunk size that surely fit an `Int`. */
+        /** Maximum number of hexadecimal digits of a chunk size. Any number of this length fits an `Int`. */
         const val MAX_CHUNK_SIZE_DIGITS = 7
         const val HEXADECIMAL = 16
         const val MAX_CHUNK_LINE_BYTES = 256
--- a/src/main/kotlin/mintfield/io/http/HttpServer.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpServer.kt
@@ -15,10 +15,10 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * Serves HTTP/1.1 on one address; bounded in connections, in the time that a peer may take, and in message size.
+ * HTTP/1.1 server on one address, with limits on the number of connections, the message size and the time a peer may take.
  *
- * Requests of one connection are handled one after the other, those of different connections concurrently, all on [loop]. A handler
- * that throws is answered for with 500.
+ * Requests on one connection are handled one after the other, those on different connections concurrently, all on [loop]. The response
+ * has status 500 if the handler throws a [RuntimeException].
  */
 class HttpServer(
     private val loop: EventLoop,
@@ -35,31 +35,31 @@
     private val connections = LinkedHashSet<Connection>()
     private lateinit var listener: AsynchronousServerSocketChannel
 
-    /** Connections that are open. */
+    /** Number of open connections. */
     val connectionCount: Int get() = connections.size
 
-    /** The port that is served; of use where the address left the choice to the system. */
+    /** The port that the server listens on. Useful if it was started with port 0, so that the system chose the port. */
     val port: Int get() = (listener.localAddress as InetSocketAddress).port
 
     /**
-     * Starts to serve [address].
+     * Starts listening on [address].
      *
-     * @throws IOException if it cannot be listened on
+     * @throws IOException if the address cannot be bound
      */
     fun start(address: InetSocketAddress) {
         listener = listen(address)
-        scope.launch { acceptAll() }
+        scope.launch { acceptConnections() }
         scope.launch { closeTimedOut() }
     }
 
-    /** Starts to serve [address] as soon as it is free. Another process may hold it for a while, such as the one that this replaces. */
+    /** Starts listening on [address], with retries while it cannot be bound, for example because the process being replaced still uses it. */
     suspend fun startWhenFree(address: InetSocketAddress) {
         var attempts = 0
         while (true) {
             try {
                 return start(address)
             } catch (e: IOException) {
-                if (attempts++ % BIND_LOG_EVERY == 0) Log.error("$address cannot be listened on: ${e.message}; it is tried again")
+                if (attempts++ % BIND_FAILURES_PER_LOG_LINE == 0) Log.error("$address: bind failed, will be retried: ${e.message}")
                 delay(HttpConstants.BIND_RETRY_MS)
             }
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Closes connections that are idle for too long, or take too long over a message. */
+    /** Periodically closes the connections that have been idle for too long or take too long to transfer a message. */
     private suspend fun closeTimedOut() {
         while (true) {
             delay(HttpConstants.SERVER_TIMEOUT_CHECK_MS)
@@ -86,32 +86,32 @@
     }
 
     /**
-     * Accepts connections, several in a row ahead of other events: after a failover all workers connect within a second, and one that
-     * waited for its turn behind all that is queued could lose its lease in the kernel's backlog.
+     * Accepts connections, several in a row before other events are handled. After a failover all workers connect within a second; if each
+     * accept waited behind all queued events, a worker could lose its lease while its connection is still in the kernel's backlog.
      */
-    private suspend fun acceptAll() {
+    private suspend fun acceptConnections() {
         var accepted = 0
         while (true) {
-            val ahead = ++accepted % HttpConstants.MAX_CONSECUTIVE_ACCEPTS != 0
-            val channel = accept(ahead)
+            val prioritized = ++accepted % HttpConstants.MAX_CONSECUTIVE_ACCEPTS != 0
+            val channel = accept(prioritized)
             when {
                 channel == null -> delay(HttpConstants.ACCEPT_BACKOFF_MS)
                 connections.size >= maxConnections -> channel.closeQuietly()
-                else -> begin(channel)
+                else -> startServing(channel)
             }
         }
     }
 
-    /** The next connection, or null if accepting failed, as it does for lack of sockets. */
-    private suspend fun accept(ahead: Boolean): AsynchronousSocketChannel? =
+    /** Accepts the next connection; null if that fails, for example for lack of sockets. */
+    private suspend fun accept(prioritized: Boolean): AsynchronousSocketChannel? =
         try {
-            listener.next { accept -> if (ahead) loop.ahead(accept) else accept() }
+            listener.acceptNext { accept -> if (prioritized) loop.prioritizeCompletion(accept) else accept() }
         } catch (e: IOException) {
             Log.debug("accept failed: $e")
             null
         }
 
-    private fun begin(channel: AsynchronousSocketChannel) {
+    private fun startServing(channel: AsynchronousSocketChannel) {
         val connection = Connection(channel, loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS)
         connections.add(connection)
         scope.launch {
@@ -119,7 +119,7 @@
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
                 serve(connection)
             } catch (_: IOException) {
-                // The peer went away; nothing is owed to it.
+                // The peer closed the connection, so there is nobody to respond to.
             } finally {
                 connections.remove(connection)
                 channel.closeQuietly()
@@ -145,7 +145,7 @@
         }
     }
 
-    @Suppress("TooGenericExceptionCaught") // Whatever a handler fails with, its client is owed an answer and the connection goes on.
+    @Suppress("TooGenericExceptionCaught") // The client gets a response and the connection stays open, whichever exception a handler throws.
     private suspend fun handle(request: HttpMessage): Response =
         try {
             handler(request)
@@ -160,9 +160,9 @@
         input: ByteBuffer,
     ): HttpMessage? {
         parser.next()?.let { return it }
-        // An idle connection may wait; one that has begun a message must complete it soon.
+        // The idle timeout applies until the first bytes of a message arrive, then the shorter message timeout.
         connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_IDLE_TIMEOUT_MS
-        var begun = false
+        var started = false
         while (true) {
             input.clear()
             if (connection.channel.receive(input) < 0) return null
@@ -172,8 +172,8 @@
                 connection.closeAtMs = Long.MAX_VALUE
                 return it
             }
-            if (!begun) connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_MESSAGE_TIMEOUT_MS
-            begun = true
+            if (!started) connection.closeAtMs = loop.nowMs() + HttpConstants.SERVER_MESSAGE_TIMEOUT_MS
+            started = true
         }
     }
 
@@ -198,20 +198,20 @@
     }
 
     private companion object {
-        /** Failed attempts to listen between two lines in the log. */
-        const val BIND_LOG_EVERY = 40
+        /** One of this many failed attempts to bind is logged. */
+        const val BIND_FAILURES_PER_LOG_LINE = 40
         const val LOGGED_FRAMES = 5
         const val INITIAL_HEAD_CHARS = 128
     }
 }
 
-/** A whole message in one buffer, so that it is sent in as few packets as possible. */
+/** Joins the head and body of a message in one buffer, so that the message is sent in as few packets as possible. */
 internal fun message(
     head: CharSequence,
     body: ByteArray,
 ): ByteBuffer {
     val bytes = head.toString().toByteArray(Charsets.ISO_8859_1)
-    val whole = ByteBuffer.allocate(bytes.size + body.size)
-    whole.put(bytes).put(body).flip()
-    return whole
+    val buffer = ByteBuffer.allocate(bytes.size + body.size)
+    buffer.put(bytes).put(body).flip()
+    return buffer
 }
--- a/src/main/kotlin/mintfield/io/http/HttpStatus.kt
+++ b/src/main/kotlin/mintfield/io/http/HttpStatus.kt
@@ -1,6 +1,6 @@
 package mintfield.io.http
 
-/** The HTTP status codes that mintfield sends or tells apart (RFC 9110). */
+/** The HTTP status codes that mintfield sends or distinguishes (RFC 9110). */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -18,13 +18,13 @@
     const val NOT_IMPLEMENTED = 501
     const val SERVICE_UNAVAILABLE = 503
 
-    /** The lowest status that reports a failure of either side. */
+    /** The lowest status of a client or server error. */
     const val FIRST_ERROR = 400
 
-    /** The lowest status that reports a failure of the server. */
+    /** The lowest status of a server error. */
     const val FIRST_SERVER_ERROR = 500
 
-    /** The reason phrase that is sent with [status]. Recipients ignore it, so that rarely sent codes share one. */
+    /** The reason phrase sent with [status]. Clients ignore reason phrases, so rarely sent codes share one. */
     fun reasonPhrase(status: Int): String =
         when (status) {
             OK -> "OK"
--- a/src/main/kotlin/mintfield/io/http/LineBuffer.kt
+++ b/src/main/kotlin/mintfield/io/http/LineBuffer.kt
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer
 
 /**
- * Received bytes that have not been parsed yet: lines and counted bytes are taken from the front, new bytes are appended. What has
- * been searched for the end of a line is not searched again when more bytes arrive.
+ * Buffer of received bytes that have not been parsed yet. Lines and blocks of bytes are taken from the front, new bytes are appended.
+ * Bytes already searched for the end of a line are not searched again when more bytes arrive.
  */
 internal class LineBuffer {
     private var bytes = ByteArray(INITIAL_BYTES)
@@ -12,7 +12,7 @@
     private var end = 0
     private var scanned = 0
 
-    /** Bytes held. */
+    /** Number of bytes in the buffer. */
     val size: Int get() = end - start
 
     val isEmpty: Boolean get() = start == end
@@ -25,7 +25,7 @@
         end += count
     }
 
-    /** Takes the next line without its line break; null if its end has not arrived. */
+    /** Takes the next line and returns it without its line break; null if the end of the line has not arrived. */
     fun takeLine(): String? {
         val after = lineEnd()
         if (after < 0) return null
@@ -37,7 +37,7 @@
         return text
     }
 
-    /** Index just after the next line feed, or -1. */
+    /** Index just after the next line feed; -1 if there is none. */
     private fun lineEnd(): Int {
         var index = scanned
         while (index < end) {
@@ -48,13 +48,13 @@
         return -1
     }
 
-    /** Drops line breaks at the front. */
+    /** Discards line breaks at the front. */
     fun skipLineBreaks() {
         while (start < end && (bytes[start] == CR || bytes[start] == LF)) start++
         if (scanned < start) scanned = start
     }
 
-    /** Bytes up to and including the first empty line, or -1 if that has not arrived. */
+    /** Number of bytes up to and including the first empty line; -1 if that line has not arrived. */
     fun bytesToHeadEnd(): Int {
         var index = maxOf(start, scanned - HEAD_END_BYTES)
         while (index < end) {
@@ -68,40 +68,41 @@
         return -1
     }
 
-    /** Searches for line ends from the front again. */
+    /** Makes the next search for the end of a line start at the front again. */
     fun rescan() {
         scanned = start
     }
 
-    /** Drops [count] bytes at the front. */
+    /** Discards [count] bytes at the front. */
     fun discard(count: Int) {
         start += count
     }
 
-    /** Moves up to [most] bytes to [target] at [offset]; returns how many. */
+    /** Moves up to [maxBytes] bytes to [target] at [offset]; returns the number of bytes moved. */
     fun take(
         target: ByteArray,
         offset: Int,
-        most: Int,
+        maxBytes: Int,
     ): Int {
-        val count = minOf(most, size)
+        val count = minOf(maxBytes, size)
         System.arraycopy(bytes, start, target, offset, count)
         start += count
         return count
     }
 
-    /** If no byte is held, starts anew at the front of a buffer of ordinary size. */
-    fun reclaim() {
+    /** Resets the buffer if it is empty, and replaces an array larger than [MAX_RETAINED_BYTES] by one of the initial size. */
+    fun shrinkIfEmpty() {
         if (!isEmpty) return
         start = 0
         end = 0
         scanned = 0
-        if (bytes.size > MAX_KEPT_BYTES) bytes = ByteArray(INITIAL_BYTES)
+        if (bytes.size > MAX_RETAINED_BYTES) bytes = ByteArray(INITIAL_BYTES)
     }
 
-    private fun compact(more: Int) {
+    /** Moves the content to the front of the array, or of a larger one, so that [additional] bytes fit after it. */
+    private fun compact(additional: Int) {
         val held = size
-        val target = if (held + more > bytes.size) ByteArray(maxOf(bytes.size * 2, held + more)) else bytes
+        val target = if (held + additional > bytes.size) ByteArray(maxOf(bytes.size * 2, held + additional)) else bytes
         System.arraycopy(bytes, start, target, 0, held)
         scanned -= start
         start = 0
@@ -113,11 +114,11 @@
         const val LF = '\n'.code.toByte()
         const val CR = '\r'.code.toByte()
 
-        /** The line feed of the last header line, and the line break of the empty line after it. */
+        /** Size of the line feed of the last header line and the CR LF of the empty line after it. */
         const val HEAD_END_BYTES = 3
         const val INITIAL_BYTES = 1024
 
-        /** A larger buffer is given up once it is empty. */
-        const val MAX_KEPT_BYTES = 16 * 1024
+        /** Maximum size of an array that is kept when the buffer is empty. */
+        const val MAX_RETAINED_BYTES = 16 * 1024
     }
 }
--- a/src/main/kotlin/mintfield/io/http/Response.kt
+++ b/src/main/kotlin/mintfield/io/http/Response.kt
@@ -3,10 +3,10 @@
 import mintfield.io.json.Json
 
 /**
- * What a server answers to a request; the body is JSON.
+ * The response of a server to a request; the body is JSON.
  *
- * @property retryAfterS seconds after which the client should come back, as `Retry-After`
- * @property allow the method that the path is served with, as `Allow`
+ * @property retryAfterS seconds after which the client should retry, sent as `Retry-After`
+ * @property allow the method that the path supports, sent as `Allow`
  * @property close whether the connection is closed after the response
  */
 class Response(
@@ -16,12 +16,12 @@
     val allow: String? = null,
     val close: Boolean = false,
 ) {
-    /** The same response, after which the connection is closed. */
+    /** Returns a copy that closes the connection after it has been sent. */
     fun closing() = Response(status, body, retryAfterS, allow, close = true)
 
-    /** Makes responses of common forms. */
+    /** Factory functions for common responses. */
     companion object {
-        /** A refusal with its [reason] in the field `error`. */
+        /** An error response whose body is an object with [reason] in the field `error`. */
         fun error(
             status: Int,
             reason: String,
--- a/src/main/kotlin/mintfield/io/json/Json.kt
+++ b/src/main/kotlin/mintfield/io/json/Json.kt
@@ -8,38 +8,38 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigInteger
 
-/** The bytes are not exactly one JSON value, or one that is nested too deeply. The message says what is wrong with them. */
+/** Thrown if bytes are not exactly one JSON value, or if the value is nested too deeply. */
 class NotJsonException(
     message: String,
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
 /**
- * Reading and writing of JSON by Jackson's streaming layer, which needs no reflection and few classes. A value is read as a tree of maps,
- * lists, strings, numbers, booleans and nulls; an integer is a [Long], or a [BigInteger] if it is too large for one.
+ * Reader and writer of JSON based on Jackson's streaming API, which needs no reflection and few classes. A value is read as a tree of maps,
+ * lists, strings, numbers, booleans and nulls. An integer is a [Long], or a [BigInteger] if it does not fit a [Long].
  */
 object Json {
-    /** Makes the parsers and generators. */
+    /** Factory of the JSON parsers and generators. */
     val factory: JsonFactory = JsonFactory()
 
     /** Initial size of the buffer for written JSON, in bytes. */
     @PublishedApi
     internal const val INITIAL_BYTES = 256
 
-    /** Values nested more deeply than this are refused, as reading them takes stack in proportion. */
+    /** Maximum nesting depth of a value. Reading is recursive, so its use of the stack grows with the depth. */
     private const val MAX_DEPTH = 32
 
-    /** Up to here, each whole number is a [Double] of its own. */
+    /** Bound below which every whole number has an exact representation as a [Double]. */
     private const val MAX_WHOLE_DOUBLE = 1e15
 
-    /** The bytes, in UTF-8, of the value that [block] writes. */
+    /** Returns the value written by [block], in UTF-8. */
     inline fun write(block: (JsonGenerator) -> Unit): ByteArray {
         val out = ByteArrayOutputStream(INITIAL_BYTES)
         factory.createGenerator(out).use { block(it) }
         return out.toByteArray()
     }
 
-    /** The bytes, in UTF-8, of an object with the fields that [block] writes. */
+    /** Returns an object with the fields written by [block], in UTF-8. */
     inline fun obj(block: JsonGenerator.() -> Unit): ByteArray =
         write {
             it.writeStartObject()
@@ -47,23 +47,23 @@
             it.writeEndObject()
         }
 
-    /** The tree that begins at the current token of [parser], of any format that Jackson streams. */
+    /** Reads the tree that starts at the current token of [parser]. The parser may read any format that Jackson supports, such as TOML. */
     fun tree(parser: JsonParser): Any? = value(parser, depth = 0)
 
-    /** The tree of the only value in [bytes]. Throws [NotJsonException] if they hold anything else. */
+    /** Parses [bytes] as one JSON value. Throws [NotJsonException] if they contain anything else. */
     fun parse(bytes: ByteArray): Any? =
         try {
             factory.createParser(bytes).use { parser ->
-                if (parser.nextToken() == null) throw NotJsonException("no value")
+                if (parser.nextToken() == null) throw NotJsonException("expected one JSON value, found none")
                 val tree = tree(parser)
-                if (parser.nextToken() != null) throw NotJsonException("more than one value")
+                if (parser.nextToken() != null) throw NotJsonException("expected one JSON value, found several")
                 tree
             }
         } catch (e: JsonProcessingException) {
             throw NotJsonException(e.originalMessage ?: "not JSON", e)
         }
 
-    /** The object in [bytes]; null if they hold anything else. */
+    /** Parses [bytes] as one JSON object; null if they contain anything else. */
     fun parseObject(bytes: ByteArray): Map<String, Any?>? =
         try {
             parse(bytes).asMap()
@@ -110,7 +110,7 @@
         return elements
     }
 
-    /** A number of a tree as an integer; null if it is none or its value is not a whole number. */
+    /** Returns a value of a tree as an integer; null if it is not a whole number within range. */
     fun asLong(value: Any?): Long? =
         when (value) {
             is Long -> value
@@ -118,7 +118,7 @@
             else -> null
         }
 
-    /** A number of a tree as a finite floating-point number; null if it is none. */
+    /** Returns a value of a tree as a finite floating-point number; null if it is not a number or not finite. */
     fun asDouble(value: Any?): Double? =
         when (value) {
             is Long -> value.toDouble()
--- a/src/main/kotlin/mintfield/io/loop/EventLoop.kt
+++ b/src/main/kotlin/mintfield/io/loop/EventLoop.kt
@@ -17,10 +17,10 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * The single thread on which everything of a controller runs: coroutines, timers and the completions of NIO.2 channels, which take
- * [executor] as theirs. State that is only touched on the loop needs no locks.
+ * Event loop of a controller: a single thread that runs coroutines, timers and the completion handlers of NIO.2 channels (through
+ * [executor]). State that is only accessed on the loop needs no locks.
  *
- * A failing event is logged and does not end the loop.
+ * An event that throws an exception is logged and does not end the loop.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
@@ -33,7 +33,7 @@
     @Volatile private var stopped = false
     private var sequence = 0L
 
-    /** View of the loop as the executor that an asynchronous channel group asks for. */
+    /** The loop as an executor, for an asynchronous channel group. */
     val executor: AbstractExecutorService = LoopExecutor()
 
     /** Starts the thread. */
@@ -42,41 +42,41 @@
     /** Waits until the loop has ended. */
     fun join() = thread.join()
 
-    /** Ends the loop after the event that runs now; what is queued is dropped. */
+    /** Stops the loop after the current event. Queued events are dropped. May be called from any thread. */
     fun stop() {
         stopped = true
         queue.add(Runnable { })
     }
 
-    /** Whether [ahead] is running; only used on the loop. */
-    private var completionsAhead = false
+    /** Whether [prioritizeCompletion] is running. Only used on the loop. */
+    private var prioritizesCompletions = false
 
     /**
-     * Runs [action], which starts an operation of a channel. If that completes at once, its completion becomes the next event
-     * instead of the last. Only to be called on the loop.
+     * Runs [action], which starts an operation of a channel. If the operation completes immediately, its completion handler is queued as
+     * the next event rather than the last one. May be called on the loop only.
      */
-    fun ahead(action: () -> Unit) {
-        completionsAhead = true
+    fun prioritizeCompletion(action: () -> Unit) {
+        prioritizesCompletions = true
         try {
             action()
         } finally {
-            completionsAhead = false
+            prioritizesCompletions = false
         }
     }
 
-    /** Queues [task]; may be called from any thread. */
+    /** Queues [task] as the last event. May be called from any thread. */
     fun post(task: Runnable) {
         queue.add(task)
     }
 
-    /** Steady time in milliseconds, from an arbitrary origin. */
+    /** Monotonic time in milliseconds since an arbitrary origin. */
     fun nowMs(): Long = System.nanoTime() / NANOS_PER_MS
 
-    /** When this loop, and so most likely its process, began. */
+    /** Time at which the loop was created, which is close to the start of the process. */
     val startedAtMs = nowMs()
 
-    /** Runs [task] on the loop after [delayMs]; only to be called on the loop. */
-    fun after(
+    /** Runs [task] on the loop after [delayMs]. May be called on the loop only. */
+    fun schedule(
         delayMs: Long,
         task: () -> Unit,
     ): Timer {
@@ -97,7 +97,7 @@
         continuation: CancellableContinuation<Unit>,
     ) {
         onLoop {
-            val timer = after(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
+            val timer = schedule(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
             continuation.invokeOnCancellation { timer.cancel() }
         }
     }
@@ -107,7 +107,7 @@
         block: Runnable,
         context: CoroutineContext,
     ): DisposableHandle {
-        val timer = after(timeMillis) { block.run() }
+        val timer = schedule(timeMillis) { block.run() }
         return DisposableHandle { timer.cancel() }
     }
 
@@ -120,12 +120,12 @@
             runDueTimers()
             val task = nextTask() ?: continue
             runSafely(task)
-            drain()
+            runQueuedEvents()
         }
     }
 
-    /** Runs what is queued now, but not what that queues in turn, so that timers get their turn. */
-    private fun drain() {
+    /** Runs the events that are queued at the start of the call. Events queued meanwhile must wait until due timers have run. */
+    private fun runQueuedEvents() {
         var left = queue.size
         while (left-- > 0) runSafely(queue.poll() ?: return)
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    @Suppress("TooGenericExceptionCaught") // Whatever one event fails with, the others must go on.
+    @Suppress("TooGenericExceptionCaught") // An exception in one event must not prevent other events from running.
     private fun runSafely(task: Runnable) {
         try {
             task.run()
@@ -161,7 +161,7 @@
         }
     }
 
-    /** A task that runs on the loop at a set time, unless it is cancelled before. */
+    /** A task that runs on the loop at a set time unless it is cancelled first. */
     class Timer(
         internal val atNanos: Long,
         private val order: Long,
@@ -169,7 +169,7 @@
     ) : Comparable<Timer> {
         internal var cancelled = false
 
-        /** Keeps the task from running; without effect if it has run. Only to be called on the loop. */
+        /** Cancels the task; without effect if it has run. May be called on the loop only. */
         fun cancel() {
             cancelled = true
         }
@@ -182,7 +182,7 @@
 
     private inner class LoopExecutor : AbstractExecutorService() {
         override fun execute(command: Runnable) {
-            if (Thread.currentThread() === thread && completionsAhead) queue.addFirst(command) else queue.add(command)
+            if (Thread.currentThread() === thread && prioritizesCompletions) queue.addFirst(command) else queue.add(command)
         }
 
         override fun shutdown() = this@EventLoop.stop()
@@ -208,10 +208,10 @@
 
 private const val NANOS_PER_MS = 1_000_000L
 
-/** Frames of a stack trace that a line of the log shows. */
+/** Maximum number of stack frames shown in a log line. */
 private const val LOGGED_FRAMES = 6
 
-/** A scope of coroutines on this loop that live as long as the process; one that fails is logged and does not end the others. */
+/** Returns a scope for coroutines on the loop that live as long as the process. A coroutine that fails is logged and does not cancel the others. */
 fun EventLoop.scope(): CoroutineScope =
     CoroutineScope(
         this + SupervisorJob() +
--- a/src/main/kotlin/mintfield/io/loop/Log.kt
+++ b/src/main/kotlin/mintfield/io/loop/Log.kt
@@ -2,7 +2,7 @@
 
 import mintfield.io.json.Json
 
-/** The log: lines on standard error, plain or as JSON objects, at the level that the environment variable `LOG_LEVEL` names. */
+/** Log on standard error, with lines of plain text or JSON objects. The environment variable `LOG_LEVEL` sets the level; the default is `error`. */
 object Log {
     private enum class Level { ERROR, INFO, DEBUG }
 
@@ -13,38 +13,38 @@
             else -> Level.ERROR
         }
 
-    /** Whether lines are JSON objects. Set once at the start, before anything is logged. */
+    /** Whether lines are JSON objects. Must be set before the first line is logged. */
     var json = false
 
-    private val infoOn: Boolean get() = level >= Level.INFO
-    private val debugOn: Boolean get() = level >= Level.DEBUG
+    private val isInfoEnabled: Boolean get() = level >= Level.INFO
+    private val isDebugEnabled: Boolean get() = level >= Level.DEBUG
 
-    /** Logs what an operator must look at. */
+    /** Logs a condition that an operator must look into. */
     fun error(line: String) = write("ERROR", line)
 
-    /** Logs what an operator wants to follow. */
+    /** Logs an event that helps operators follow the operation of the controller. */
     fun info(line: String) {
-        if (infoOn) write("INFO", line)
+        if (isInfoEnabled) write("INFO", line)
     }
 
-    /** Logs what only a developer needs. */
+    /** Logs a detail that only developers need. */
     fun debug(line: String) {
-        if (debugOn) write("DEBUG", line)
+        if (isDebugEnabled) write("DEBUG", line)
     }
 
     private fun write(
-        word: String,
+        levelName: String,
         line: String,
     ) = System.err.println(
         if (json) {
             String(
                 Json.obj {
-                    writeStringField("level", word.lowercase())
+                    writeStringField("level", levelName.lowercase())
                     writeStringField("message", line)
                 },
             )
         } else {
-            "$word $line"
+            "$levelName $line"
         },
     )
 }
--- a/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
+++ b/src/main/kotlin/mintfield/io/loop/RateLimiter.kt
@@ -6,8 +6,8 @@
 import kotlin.coroutines.resume
 
 /**
- * Token bucket: lets through [rate] permits a second with bursts of [burst]. Callers that wait are served in order, the urgent ones
- * before the others. To be used on [loop] only.
+ * Token bucket that grants [rate] permits per second with bursts of up to [burst]. Waiting callers are served in order, urgent ones before
+ * all others. May be used on [loop] only.
  */
 class RateLimiter(
     private val loop: EventLoop,
@@ -19,20 +19,20 @@
         val continuation: CancellableContinuation<Unit>,
     )
 
-    /** Permits a second; a change holds from now on. */
+    /** Permits per second. A change takes effect immediately. */
     var rate = rate
         set(value) {
-            fill()
+            refill()
             field = value
         }
     private var tokens = burst
-    private var filledAt = System.nanoTime()
+    private var refilledAtNanos = System.nanoTime()
     private val urgent = ArrayDeque<Waiter>()
-    private val others = ArrayDeque<Waiter>()
+    private val regular = ArrayDeque<Waiter>()
     private var timer: EventLoop.Timer? = null
 
-    /** Lets through, from now on, [rate] permits a second with bursts of [burst]. */
-    fun limit(
+    /** Sets the limits to [rate] permits per second with bursts of up to [burst], with immediate effect. */
+    fun setLimits(
         rate: Double,
         burst: Double,
     ) {
@@ -40,63 +40,63 @@
         this.burst = burst
     }
 
-    /** Permits that could be taken without waiting; none while others wait. */
+    /** Number of permits that can be acquired without waiting; 0 while any caller waits. */
     val available: Double
         get() {
-            fill()
-            return if (urgent.isEmpty() && others.isEmpty()) tokens else 0.0
+            refill()
+            return if (urgent.isEmpty() && regular.isEmpty()) tokens else 0.0
         }
 
-    /** Takes permits without waiting; the balance may go below zero, which makes later callers wait. */
+    /** Takes [cost] permits without waiting. The balance may become negative, which makes later callers wait. */
     fun take(cost: Double) {
-        fill()
+        refill()
         tokens -= cost
     }
 
-    /** Waits for [cost] permits and takes them; more than a burst holds are granted once the bucket is full. */
+    /** Waits for [cost] permits and takes them. A cost above the burst is granted once the bucket is full and makes the balance negative. */
     suspend fun acquire(
         cost: Double = 1.0,
-        urgentCall: Boolean = false,
+        isUrgent: Boolean = false,
     ) {
-        fill()
-        if (tokens >= cost && urgent.isEmpty() && (urgentCall || others.isEmpty())) {
+        refill()
+        if (tokens >= cost && urgent.isEmpty() && (isUrgent || regular.isEmpty())) {
             tokens -= cost
             return
         }
         suspendCancellableCoroutine { continuation ->
-            (if (urgentCall) urgent else others).addLast(Waiter(cost, continuation))
-            arm()
+            (if (isUrgent) urgent else regular).addLast(Waiter(cost, continuation))
+            scheduleGrants()
         }
     }
 
-    private fun fill() {
+    private fun refill() {
         val now = System.nanoTime()
-        tokens = minOf(burst, tokens + (now - filledAt) / NANOS_PER_S * rate)
-        filledAt = now
+        tokens = minOf(burst, tokens + (now - refilledAtNanos) / NANOS_PER_S * rate)
+        refilledAtNanos = now
     }
 
-    private fun arm() {
+    private fun scheduleGrants() {
         if (timer != null) return
-        val head = urgent.firstOrNull() ?: others.firstOrNull() ?: return
-        val need = minOf(head.cost, burst)
-        val waitMs = Math.ceil(maxOf(0.0, need - tokens) / rate * TimeUnits.MS_PER_SECOND).toLong().coerceAtLeast(1)
+        val head = urgent.firstOrNull() ?: regular.firstOrNull() ?: return
+        val required = minOf(head.cost, burst)
+        val waitMs = Math.ceil(maxOf(0.0, required - tokens) / rate * TimeUnits.MS_PER_SECOND).toLong().coerceAtLeast(1)
         timer =
-            loop.after(waitMs) {
+            loop.schedule(waitMs) {
                 timer = null
-                release()
+                grantWaiting()
             }
     }
 
-    private fun release() {
-        fill()
+    private fun grantWaiting() {
+        refill()
         while (true) {
-            val queue = if (urgent.isNotEmpty()) urgent else others
+            val queue = if (urgent.isNotEmpty()) urgent else regular
             val head = queue.firstOrNull() ?: return
             if (!head.continuation.isActive) {
                 queue.removeFirst()
                 continue
             }
-            if (tokens < minOf(head.cost, burst)) return arm()
+            if (tokens < minOf(head.cost, burst)) return scheduleGrants()
             queue.removeFirst()
             tokens -= head.cost
             head.continuation.resume(Unit)
--- a/src/main/kotlin/mintfield/io/settings/OperatorBlock.kt
+++ b/src/main/kotlin/mintfield/io/settings/OperatorBlock.kt
@@ -1,9 +1,9 @@
 package mintfield.io.settings
 
 /**
- * A block of the operators' file, with the [path] at which it stands, so that a fault names the whole field.
+ * A block of the operators' settings file, with its [path] in the file, so that errors name the full path of a field.
  *
- * @param known the fields that it may have; null if it may have any
+ * @param known the permitted fields; null permits any
  */
 internal class OperatorBlock(
     private val file: String,
@@ -12,25 +12,25 @@
     known: Set<String>?,
 ) {
     init {
-        val strange = if (known == null) null else values.keys.firstOrNull { it !in known }
-        if (strange != null) fault(strange, "not known; expected one of ${known.orEmpty().sorted().joinToString(", ")}")
+        val unknown = if (known == null) null else values.keys.firstOrNull { it !in known }
+        if (unknown != null) fault(unknown, "not known; expected one of ${known.orEmpty().sorted().joinToString(", ")}")
     }
 
-    /** The names of the fields that it has. */
+    /** The names of the fields of the block. */
     val fields: Set<String> get() = values.keys
 
     operator fun contains(field: String) = field in values
 
     operator fun get(field: String): Any? = values[field]
 
-    /** The block [field]; an empty one if there is none. */
+    /** The block [field]; an empty block if there is none. */
     fun block(
         field: String,
         known: Set<String>?,
     ): OperatorBlock = child(field, "$path$field.", known)
 
-    /** The block with the label [label], of those that this one holds; faults in its fields name it as the file does. */
-    fun labelled(
+    /** The contained block with the label [label]. Errors in its fields name it as the file does, with a space before the label. */
+    fun labelledBlock(
         label: String,
         known: Set<String>,
     ): OperatorBlock {
@@ -45,12 +45,12 @@
     ): OperatorBlock {
         val value = values[field] ?: return OperatorBlock(file, childPath, emptyMap(), known)
 
-        @Suppress("UNCHECKED_CAST") // The parser's blocks are maps by name.
-        val map = value as? Map<String, Any?> ?: fault(field, "expected a block")
+        @Suppress("UNCHECKED_CAST") // The parser represents a block as a map from field names to values.
+        val map = value as? Map<String, Any?> ?: fault(field, "expected a block, found $value")
         return OperatorBlock(file, childPath, map, known)
     }
 
-    /** The number [field], which must lie within [range]; null if there is none. */
+    /** The number [field], which must be within [range]; null if the field is absent. */
     fun number(
         field: String,
         range: ClosedFloatingPointRange<Double>,
@@ -61,12 +61,12 @@
         return found
     }
 
-    /** Refuses the [field] of this block. */
+    /** Throws a [SettingsFault] about [field]. */
     fun fault(
         field: String,
         problem: String,
     ): Nothing = throw SettingsFault(file, "$path$field: $problem")
 
-    /** Refuses the block as a whole. */
+    /** Throws a [SettingsFault] about the block as a whole. */
     fun fault(problem: String): Nothing = throw SettingsFault(file, "${path.removeSuffix(".")}: $problem")
 }
--- a/src/main/kotlin/mintfield/io/settings/OperatorFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/OperatorFile.kt
@@ -8,22 +8,22 @@
 import mintfield.core.ownership.ShardingSettings
 
 /**
- * Reads the operators' own settings (HCL). Unlike in the platform's file, a field that is not known is a mistake.
+ * Reads the operators' settings file (HCL). Unlike in the platform's file, an unknown field is an error.
  *
- * The words of the file are mapped here to those of [OperatorSettings]: a block `share` of the block `sharing` is a shard.
+ * The names used in the file are mapped to those of [OperatorSettings]: a block `share` within the block `sharing` is a shard.
  */
 object OperatorFile {
     /**
-     * The settings in the file at [path].
+     * Reads the file at [path].
      *
-     * @throws SettingsFault if it cannot be read, or a field is unknown or wrong
+     * @throws SettingsFault if the file cannot be read, or if a field is unknown or invalid
      */
     fun read(path: String): OperatorSettings = parse(SettingsFile.text(path), path)
 
     /**
-     * The settings in [text]; [name] stands for the file in messages.
+     * Parses [text]; error messages use [name] as the name of the file.
      *
-     * @throws SettingsFault if a field is unknown or wrong
+     * @throws SettingsFault if a field is unknown or invalid
      */
     fun parse(
         text: String,
@@ -71,7 +71,7 @@
     private fun sharding(sharing: OperatorBlock): ShardingSettings {
         val blocks = sharing.block("share", known = null)
         if (blocks.fields.isEmpty()) sharing.fault("share", "expected at least one block, found none")
-        return ShardingSettings(blocks.fields.map { shard(it, blocks.labelled(it, setOf("home", "teams", "floor", "ceiling", "weight"))) })
+        return ShardingSettings(blocks.fields.map { shard(it, blocks.labelledBlock(it, setOf("home", "teams", "floor", "ceiling", "weight"))) })
     }
 
     private fun shard(
--- a/src/main/kotlin/mintfield/io/settings/SettingsFault.kt
+++ b/src/main/kotlin/mintfield/io/settings/SettingsFault.kt
@@ -1,10 +1,10 @@
 package mintfield.io.settings
 
 /**
- * A settings file cannot be used. The message is one line for the operator: the file, the field and what was expected there.
+ * Thrown if a settings file is unusable. The message is a single line for the operator, with the file, the field and the expected value.
  *
  * @property file path of the file
- * @property problem the field that is wrong, what was expected and what was found
+ * @property problem the invalid field, the expected value and the value found
  */
 class SettingsFault(
     val file: String,
--- a/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
@@ -13,23 +13,23 @@
 import java.io.IOException
 
 /**
- * Reads the platform's settings (TOML). Fields that are not known are ignored, as the platform may add some.
+ * Reads the platform's settings file (TOML). Unknown fields are ignored, as the platform may add fields.
  *
- * The words of the file are mapped here to those of [Settings]: `siblings` are peers, `outside` the external services, and the `share`
- * of an objective its target fraction.
+ * The names used in the file are mapped to those of [Settings]: `siblings` are peers, `outside` contains the external services, and the
+ * `share` of an objective is its target fraction.
  */
 object SettingsFile {
     /**
-     * The settings in the file at [path].
+     * Reads the file at [path].
      *
-     * @throws SettingsFault if it cannot be read, or a required field is missing or wrong
+     * @throws SettingsFault if the file cannot be read, or if a required field is missing or invalid
      */
     fun read(path: String): Settings = parse(text(path), path)
 
     /**
-     * The text of the file at [path].
+     * Reads the text of the file at [path].
      *
-     * @throws SettingsFault if it cannot be read
+     * @throws SettingsFault if the file cannot be read
      */
     fun text(path: String): String =
         try {
@@ -39,16 +39,16 @@
         }
 
     /**
-     * The settings in [text]; [name] stands for the file in messages.
+     * Parses [text]; error messages use [name] as the name of the file.
      *
-     * @throws SettingsFault if a required field is missing or wrong
+     * @throws SettingsFault if a required field is missing or invalid
      */
     fun parse(
         text: String,
         name: String,
     ): Settings = settings(SettingsTable(name, tree(text, name)))
 
-    /** Read as a stream: a mapper would initialise date formats and serializers that nothing here needs, at a cost for each start. */
+    /** Parses with the streaming API: an object mapper would initialise date formats and serializers that are not needed, and slow down each start. */
     private fun tree(
         text: String,
         name: String,
@@ -87,7 +87,7 @@
             nextStateLimits = nextStateLimits(root.table("params.state")),
         )
 
-    /** Each limit to come may be left out; it is then the present one. */
+    /** The announced future limits of the state service; null if there are none. A limit that is not given keeps its present value. */
     private fun nextStateLimits(state: SettingsTable): StateLimits? {
         val next = state.optionalTable("next") ?: return null
 
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -3,8 +3,8 @@
 import mintfield.core.constants.LeadershipConstants
 import mintfield.core.constants.StoreConstants
 import mintfield.io.http.HttpClient
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.loop.RateLimiter
 
 /**
@@ -31,21 +31,21 @@
         urgent: Boolean = false,
         timeoutMs: Long = StoreConstants.STORE_TIMEOUT_MS,
         client: HttpClient = calls,
-    ): StoreResult<Reply.Answer> {
+    ): StoreResult<HttpResult.Received> {
         requests.acquire(1.0, urgent)
         return when (val reply = client.call(method, path, body, timeoutMs)) {
-            is Reply.Answer -> answered(reply)
-            is Reply.None -> unanswered(reply)
+            is HttpResult.Received -> answered(reply)
+            is HttpResult.NoResponse -> unanswered(reply)
         }
     }
 
-    private fun answered(reply: Reply.Answer): StoreResult<Reply.Answer> {
+    private fun answered(reply: HttpResult.Received): StoreResult<HttpResult.Received> {
         val serverError = reply.status >= HttpStatus.FIRST_SERVER_ERROR
         onContact(if (serverError) Contact.REFUSED else Contact.SERVED)
         return if (serverError || reply.status == HttpStatus.TOO_MANY_REQUESTS) StoreResult.Refused(reply.status) else StoreResult.Ok(reply)
     }
 
-    private fun unanswered(reply: Reply.None): StoreResult<Nothing> {
+    private fun unanswered(reply: HttpResult.NoResponse): StoreResult<Nothing> {
         onContact(Contact.UNRESPONSIVE)
         return if (reply.sent) StoreResult.Unknown(reply.reason, reply.tooLarge) else StoreResult.Refused(StoreResult.NOT_SENT)
     }
--- a/src/main/kotlin/mintfield/io/store/StoreWire.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreWire.kt
@@ -1,8 +1,8 @@
 package mintfield.io.store
 
 import com.fasterxml.jackson.core.JsonGenerator
+import mintfield.io.http.HttpResult
 import mintfield.io.http.HttpStatus
-import mintfield.io.http.Reply
 import mintfield.io.json.Json
 import mintfield.io.json.asList
 import mintfield.io.json.asMap
@@ -74,7 +74,7 @@
     }
 
     /** The outcome that the response to a transaction reports. */
-    fun outcome(answer: Reply.Answer): TxnOutcome =
+    fun outcome(answer: HttpResult.Received): TxnOutcome =
         when {
             answer.status == HttpStatus.OK -> TxnOutcome.Applied(storeRevision(answer) ?: 0)
             answer.status == HttpStatus.CONFLICT -> TxnOutcome.Failed(failedKeys(answer), storeRevision(answer) ?: 0)
@@ -82,17 +82,17 @@
             else -> TxnOutcome.Malformed(String(answer.body))
         }
 
-    private fun failedKeys(answer: Reply.Answer): List<String> =
+    private fun failedKeys(answer: HttpResult.Received): List<String> =
         answer.json[FAILED_KEYS]
             .asList()
             .orEmpty()
             .filterIsInstance<String>()
 
-    private fun storeRevision(answer: Reply.Answer): Long? = answer.json.long(STORE_REVISION)
+    private fun storeRevision(answer: HttpResult.Received): Long? = answer.json.long(STORE_REVISION)
 
     /** The entry of [key] that a response holds. */
     fun entry(
-        answer: Reply.Answer,
+        answer: HttpResult.Received,
         key: String,
     ): Entry = entry(answer.json, key)
 
@@ -102,7 +102,7 @@
     ) = Entry(json.string(KEY) ?: key, json[DATA].asMap() ?: emptyMap(), json.long(KEY_REVISION) ?: 0, json.long(LEASE))
 
     /** The page of a listing that a response holds. */
-    fun page(answer: Reply.Answer): Page {
+    fun page(answer: HttpResult.Received): Page {
         val entries = answer.json[ENTRIES].asList().orEmpty()
         return Page(
             entries = entries.mapNotNull { item -> item.asMap()?.let { entry(it, key = "") } },
@@ -113,7 +113,7 @@
 
     /** The changes after the revision [after] that the response to a watch holds. */
     fun changes(
-        answer: Reply.Answer,
+        answer: HttpResult.Received,
         after: Long,
     ): Changes {
         if (answer.status == HttpStatus.GONE) return Changes.TOO_OLD
@@ -135,5 +135,5 @@
     fun leaseRequest(durationMs: Long): ByteArray = Json.obj { writeNumberField(LEASE_DURATION_MS, durationMs) }
 
     /** The lease that a response grants; 0, which never exists, if it names none. */
-    fun lease(answer: Reply.Answer): Long = answer.json.long(LEASE) ?: 0
+    fun lease(answer: HttpResult.Received): Long = answer.json.long(LEASE) ?: 0
 }
--- a/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
+++ b/src/main/kotlin/mintfield/io/tracing/OpenTelemetryMoveTracer.kt
@@ -18,14 +18,15 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Appends the steps of moves as spans to [file], one line of OTLP in JSON for each batch, from a thread of its own. A trace context has the
- * form of the W3C header `traceparent`. Throws an `IOException` if the file cannot be opened. Loaded only where operators name a file.
+ * Writes the steps of machine moves as OpenTelemetry spans. A background thread appends one line of OTLP JSON to [file] for each batch. A
+ * trace context has the format of the W3C header `traceparent`. The constructor throws an `IOException` if the file cannot be opened. The
+ * class is loaded only if the operators' settings name a file.
  */
 class OpenTelemetryMoveTracer(
     file: String,
-    /** The name of the process in the spans. */
+    /** Name of the controller, set as `service.instance.id` on the spans. */
     controller: String,
-    /** The time of day, in milliseconds. */
+    /** Returns the wall-clock time in milliseconds. */
     private val wallMs: () -> Long = System::currentTimeMillis,
 ) : MoveTracer,
     AutoCloseable {
@@ -39,7 +40,7 @@
         SdkTracerProvider
             .builder()
             .setResource(Resource.create(Attributes.of(SERVICE_NAME, "mintfield", SERVICE_INSTANCE, controller)))
-            .addSpanProcessor(BatchSpanProcessor.builder(exporter).setScheduleDelay(BATCH_MS, TimeUnit.MILLISECONDS).build())
+            .addSpanProcessor(BatchSpanProcessor.builder(exporter).setScheduleDelay(BATCH_INTERVAL_MS, TimeUnit.MILLISECONDS).build())
             .build()
     private val tracer: Tracer = provider.get("mintfield.sharing")
 
@@ -69,7 +70,7 @@
     ) {
         val now = wallMs()
         val parent = W3CTraceContextPropagator.getInstance().extract(Context.root(), trace, HeaderGetter)
-        // A span without a parent would look like a move that nobody ordered.
+        // A span without a parent would start a new trace and look like a move without an order.
         if (!Span.fromContext(parent).spanContext.isValid) return
         val span =
             tracer
@@ -83,12 +84,12 @@
 
     private fun header(context: SpanContext) = "00-${context.traceId}-${context.spanId}-${context.traceFlags.asHex()}"
 
-    /** Writes the spans that have ended to the file, for two seconds at the most. */
+    /** Writes the pending spans to the file; waits at most [CLOSE_TIMEOUT_MS]. */
     override fun close() {
-        provider.shutdown().join(CLOSE_MS, TimeUnit.MILLISECONDS)
+        provider.shutdown().join(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)
     }
 
-    /** Presents a trace context as the only header of a request. */
+    /** Presents a trace context to the propagator as a request with the single header `traceparent`. */
     private object HeaderGetter : TextMapGetter<String> {
         override fun keys(carrier: String) = listOf(TRACE_PARENT)
 
@@ -101,11 +102,11 @@
     private companion object {
         const val TRACE_PARENT = "traceparent"
 
-        /** Milliseconds between two batches. */
-        const val BATCH_MS = 1_000L
+        /** Interval between two batches. */
+        const val BATCH_INTERVAL_MS = 1_000L
 
-        /** Milliseconds that closing may take. */
-        const val CLOSE_MS = 2_000L
+        /** Maximum time for writing the pending spans on close. */
+        const val CLOSE_TIMEOUT_MS = 2_000L
         val SERVICE_NAME: AttributeKey<String> = AttributeKey.stringKey("service.name")
         val SERVICE_INSTANCE: AttributeKey<String> = AttributeKey.stringKey("service.instance.id")
         val MACHINE: AttributeKey<String> = AttributeKey.stringKey("mintfield.machine")
