--- a/src/main/kotlin/mintfield/io/settings/OperatorBlock.kt
+++ b/src/main/kotlin/mintfield/io/settings/OperatorBlock.kt
@@ -29,7 +29,10 @@
         known: Set<String>?,
     ): OperatorBlock = child(field, "$path$field.", known)
 
-    /** The contained block with the label [label]. Errors in its fields name it as the file does, with a space before the label. */
+    /**
+     * The contained block with the label [label]. Errors about invalid values in it name it as the file does, with a space before the label.
+     * Errors about unknown fields have a dot there.
+     */
     fun labelledBlock(
         label: String,
         known: Set<String>,
