--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -41,7 +41,7 @@
 
     /** The machine types, by name. Empty until [readTypes] has succeeded once. */
     val types = LinkedHashMap<String, MachineType>()
-    private val workers = WorkerClients(ConnectionLimits(settings).pooledWorkerConnections) { HttpClient(loop, group, it, maxIdle = 1) }
+    private val workers = WorkerClients(ConnectionLimits(settings).pooledWorkerConnections) { HttpClient(loop, group, it, maxIdleConnections = 1) }
 
     /** Reads the machine types from the cloud into [types], which stays unchanged if the call fails. Does not retry. */
     suspend fun readTypes() {
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -125,7 +125,7 @@
         if (appliedLimits == limits.current) return
         appliedLimits = limits.current
         maxOps = minOf(maxOps, appliedLimits.txnOps)
-        rateLimiter.limit(appliedLimits.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, appliedLimits.txnOps.toDouble())
+        rateLimiter.setLimits(appliedLimits.writeRps * UserApiConstants.CHANGE_WRITE_FRACTION, appliedLimits.txnOps.toDouble())
     }
 
     private fun takeBatch(): List<Change> {
