--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -88,7 +88,7 @@
         known: KnownJob,
     ): Response =
         when (val newest = replicator.known(id) as? KnownJob.Ended ?: known) {
-            is KnownJob.Ended -> response(id, newest.state.phase, newest.state.tasks, HttpStatus.OK)
+            is KnownJob.Ended -> response(id, newest.state.phase, newest.state.doneTasks, HttpStatus.OK)
             is KnownJob.Live ->
                 if (isCancelled(newest)) response(id, JobPhase.CANCELLED, doneTasks(id), HttpStatus.OK) else unfinished(id, HttpStatus.OK)
             KnownJob.Unreadable -> unfinished(id, HttpStatus.OK)
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -142,7 +142,7 @@
 
     /** Records that a job is accepted and, as one that it depends on is cancelled, cancelled. */
     private suspend fun acceptCancelled(id: String): Response {
-        val cancelled = FinalState(JobPhase.CANCELLED, tasks = 0, System.currentTimeMillis())
+        val cancelled = FinalState(JobPhase.CANCELLED, doneTasks = 0, System.currentTimeMillis())
         return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
             replicator.ended(id, cancelled)
             answers.acceptedAsCancelled(id)
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -144,7 +144,7 @@
         val usedFor = limits.current
         return when (val result = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
             is StoreResult.Ok -> settle(batch, usedFor, result.value)
-            is StoreResult.Refused -> if (result.rateLimited) backOff(batch) else finish(batch, WriteResult.REFUSED)
+            is StoreResult.Refused -> if (result.isRateLimited) backOff(batch) else finish(batch, WriteResult.REFUSED)
             is StoreResult.Unknown -> {
                 Log.info("no answer to ${batch.size} changes of users: ${result.reason}")
                 finish(batch, WriteResult.UNKNOWN)
@@ -164,7 +164,7 @@
             }
             is TxnOutcome.Failed -> withoutConflicts(batch, outcome)
             is TxnOutcome.Malformed -> smaller(batch, usedFor, outcome)
-            TxnOutcome.LeaseGone -> finish(batch, WriteResult.REFUSED)
+            TxnOutcome.LeaseNotFound -> finish(batch, WriteResult.REFUSED)
         }
 
     /** The changes of [batch] whose preconditions hold: a conflict of one must not fail the others. */
@@ -197,7 +197,7 @@
         outcome: TxnOutcome.Malformed,
     ): List<Change> {
         val first = batch.first()
-        if (limits.refused(usedFor)) {
+        if (limits.recordMalformed(usedFor)) {
             adoptLimits()
         } else if (batch.size > 1) {
             maxOps = first.writes.size
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -100,7 +100,7 @@
             is TxnOutcome.Applied -> CommitResult.Done(outcome.revision)
             is TxnOutcome.Failed -> preconditionFailed(outcome.keys)
             is TxnOutcome.Malformed -> malformed(outcome, transaction)
-            TxnOutcome.LeaseGone -> {
+            TxnOutcome.LeaseNotFound -> {
                 leadership.leaseExpired()
                 CommitResult.Refused
             }
@@ -111,7 +111,7 @@
         outcome: TxnOutcome.Malformed,
         transaction: CommitTransaction,
     ): CommitResult {
-        check(limits.refused(transaction.limits)) { "the state service calls a transaction malformed: ${outcome.reason}" }
+        check(limits.recordMalformed(transaction.limits)) { "the state service calls a transaction malformed: ${outcome.reason}" }
         Log.info("the state service permits less from now on: ${limits.current}")
         return CommitResult.Refused
     }
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -15,7 +15,7 @@
 import mintfield.io.http.Reply
 import mintfield.io.http.Response
 import mintfield.io.loop.EventLoop
-import mintfield.io.peer.RelayAnswer
+import mintfield.io.peer.RelayResponse
 import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
 import mintfield.io.peer.decodeOrNull
@@ -43,7 +43,7 @@
     suspend fun heartbeat(
         leader: String,
         body: ByteArray,
-    ): RelayAnswer? {
+    ): RelayResponse? {
         val client = clients[leader] ?: return null
         val bytes = ProtoBuf.encodeToByteArray(RelayedHeartbeat.serializer(), RelayedHeartbeat(settings.member, body))
         return passOn(leader, client, PeerPaths.HEARTBEAT, bytes, PeerConstants.RELAY_TIMEOUT_MS)
@@ -88,11 +88,11 @@
         path: String,
         bytes: ByteArray,
         timeoutMs: Long,
-    ): RelayAnswer? {
+    ): RelayResponse? {
         val reply = withTimeoutOrNull(timeoutMs) { lanes.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
         if (reply !is Reply.Answer || reply.status != HttpStatus.OK) return null
         lastAnswerAtMs[peer] = loop.nowMs()
-        return decodeOrNull(RelayAnswer.serializer(), reply.body)
+        return decodeOrNull(RelayResponse.serializer(), reply.body)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -8,7 +8,7 @@
 import mintfield.io.http.Response
 import mintfield.io.peer.PeerStatus
 import mintfield.io.peer.PeerStatusResponse
-import mintfield.io.peer.RelayAnswer
+import mintfield.io.peer.RelayResponse
 import mintfield.io.peer.RelayedHeartbeat
 import mintfield.io.peer.RelayedRequest
 import mintfield.io.peer.decodeOrNull
@@ -39,16 +39,16 @@
     private suspend fun heartbeat(body: ByteArray): Response {
         val relayed = decodeOrNull(RelayedHeartbeat.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a report")
         val answer = handler.relayedHeartbeat(relayed.body)
-        return relayed(RelayAnswer(answer.status, answer.body))
+        return relayed(RelayResponse(answer.status, answer.body))
     }
 
     private suspend fun userRequest(body: ByteArray): Response {
         val relayed = decodeOrNull(RelayedRequest.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a request")
         val answer = handler.relayedUserRequest(relayed.method, relayed.path, relayed.body)
-        return relayed(RelayAnswer(answer.status, answer.body, answer.retryAfterS ?: 0))
+        return relayed(RelayResponse(answer.status, answer.body, answer.retryAfterS ?: 0))
     }
 
-    private fun relayed(answer: RelayAnswer) = Response(HttpStatus.OK, ProtoBuf.encodeToByteArray(RelayAnswer.serializer(), answer))
+    private fun relayed(answer: RelayResponse) = Response(HttpStatus.OK, ProtoBuf.encodeToByteArray(RelayResponse.serializer(), answer))
 
     private fun status(body: ByteArray): Response {
         val status = decodeOrNull(PeerStatus.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a note")
--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
@@ -18,13 +18,13 @@
     ): List<ForeignTaskResponse>? {
         localLeader(shard)?.let { return it.answer(queries) }
         val controller = elections().leaderOf(shard) ?: return null
-        return relay.queryForeignTasks(controller, ForeignTaskCodec.encodeQueries(shard, queries))?.let(ForeignTaskCodec::decodeAnswers)
+        return relay.queryForeignTasks(controller, ForeignTaskCodec.encodeQueries(shard, queries))?.let(ForeignTaskCodec::decodeResponses)
     }
 
     /** Answers encoded questions of a peer's leader; null if the shard asked is not led here, or they cannot be read. */
     fun answer(body: ByteArray): ByteArray? {
         val (shard, queries) = ForeignTaskCodec.decodeQueries(body) ?: return null
-        return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::encodeAnswers)
+        return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::encodeResponses)
     }
 
     private fun localLeader(shard: String): ShardLeader? = elections().member(shard)?.leader?.shardLeader
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -40,7 +40,7 @@
     }
 
     private suspend fun tryRecord(): Boolean {
-        val key = Keys.version(settings.member)
+        val key = Keys.generation(settings.member)
         val entry = (store.get(key) as? StoreResult.Ok ?: return false).value
         val recorded = entry?.let { GenerationCodec.decode(it.data).valueOrNull }
         if (recorded == Generation.CURRENT.toLong()) return true
@@ -60,10 +60,10 @@
 
     private suspend fun read() {
         readAtMs = loop.nowMs()
-        val page = (store.list(Keys.VERSIONS, null, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return
+        val page = (store.list(Keys.GENERATIONS, null, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return
         for (entry in page.entries) {
             val generation = GenerationCodec.decode(entry.data).valueOrNull ?: continue
-            versions.recorded(entry.key.removePrefix(Keys.VERSIONS), generation.toInt())
+            versions.recorded(entry.key.removePrefix(Keys.GENERATIONS), generation.toInt())
         }
     }
 
--- a/src/main/kotlin/mintfield/core/model/AcceptedJob.kt
+++ b/src/main/kotlin/mintfield/core/model/AcceptedJob.kt
@@ -5,10 +5,10 @@
     val spec: JobSpec,
     /** The revision of its record in the store. */
     val revision: Long,
-    /** When it was accepted, time of day in milliseconds. */
+    /** The time at which it was accepted, in milliseconds since the Unix epoch. */
     val acceptedAtMs: Long,
-    /** Its user cancelled it; its tasks are being stopped. */
+    /** Whether its user cancelled it; the tasks of a cancelled job are being stopped. */
     val cancelled: Boolean,
-    /** The machine types that could hold one of its tasks when it was accepted, a recorded output (see [mintfield.core.steps.JobSteps]). */
+    /** The machine types with capacity for one of its tasks as of its acceptance, a recorded output (see [mintfield.core.steps.JobSteps]). */
     val compatibleTypes: List<String>,
 )
--- a/src/main/kotlin/mintfield/core/model/ExitReason.kt
+++ b/src/main/kotlin/mintfield/core/model/ExitReason.kt
@@ -1,13 +1,13 @@
 package mintfield.core.model
 
-/** Why a task has ended, or why its start was refused. */
+/** The reason why a task ended or its start was refused. */
 enum class ExitReason {
     DONE,
 
     /** Ended by a stop command. */
     STOPPED,
 
-    /** The task failed, by its own fault or the machine's. */
+    /** The task failed, because of a fault in the task or in the machine. */
     ERROR,
 
     /** Refused: not enough free resources on the machine. */
@@ -16,12 +16,12 @@
     /** Refused: the machine has another attempt of the task. */
     ALREADY_RUNNING,
 
-    /** Refused: the worker finds no such job or task. */
+    /** Refused: the worker cannot find the job or the task. */
     UNKNOWN_TASK,
 
-    /** Ended since other tasks of its gang are missing. */
+    /** Ended because other tasks of its gang are missing. */
     GANG_INCOMPLETE,
 
-    /** A reason that this version does not know, or none. */
+    /** No reason, or one that this version does not know. */
     UNKNOWN,
 }
--- a/src/main/kotlin/mintfield/core/model/FinalState.kt
+++ b/src/main/kotlin/mintfield/core/model/FinalState.kt
@@ -1,11 +1,11 @@
 package mintfield.core.model
 
-/** How a job ended. Once it is recorded it never changes. */
+/** The final state of an ended job. It never changes once it is recorded. */
 data class FinalState(
     /** [JobPhase.DONE] or [JobPhase.CANCELLED]. */
     val phase: JobPhase,
     /** Number of its tasks that are done. */
-    val tasks: Int,
-    /** When it ended, time of day in milliseconds; 0 if that was not recorded. */
+    val doneTasks: Int,
+    /** The time at which it ended, in milliseconds since the Unix epoch; 0 if not recorded. */
     val endedAtMs: Long = 0,
 )
--- a/src/main/kotlin/mintfield/core/model/JobPhase.kt
+++ b/src/main/kotlin/mintfield/core/model/JobPhase.kt
@@ -11,6 +11,6 @@
     /** All tasks are done. */
     DONE,
 
-    /** Its user cancelled it, or a job that it depends on is cancelled. */
+    /** The user cancelled the job, or one of its predecessors is cancelled. */
     CANCELLED,
 }
--- a/src/main/kotlin/mintfield/core/model/LogFormat.kt
+++ b/src/main/kotlin/mintfield/core/model/LogFormat.kt
@@ -1,4 +1,4 @@
 package mintfield.core.model
 
-/** The form of log lines: text, or one JSON object a line. */
+/** The format of log lines: text, or one JSON object per line. */
 enum class LogFormat { PLAIN, JSON }
--- a/src/main/kotlin/mintfield/core/model/Peer.kt
+++ b/src/main/kotlin/mintfield/core/model/Peer.kt
@@ -4,6 +4,6 @@
 data class Peer(
     val member: String,
     val zone: String,
-    /** Where it serves other controllers: an IP address and a port. */
+    /** The IP address and port at which it serves other controllers. */
     val address: String,
 )
--- a/src/main/kotlin/mintfield/core/model/Shape.kt
+++ b/src/main/kotlin/mintfield/core/model/Shape.kt
@@ -1,6 +1,6 @@
 package mintfield.core.model
 
-/** How the tasks of a job belong together. */
+/** The relation between the tasks of a job. */
 enum class Shape {
     /** A job array: independent tasks, each of which runs to completion. */
     ARRAY,
@@ -8,6 +8,6 @@
     /** Tasks that run to completion and must all run at the same time. */
     GANG,
 
-    /** Replicas, which run until the job is cancelled. */
+    /** Replicas of a service, which run until the job is cancelled. */
     SERVICE,
 }
--- a/src/main/kotlin/mintfield/core/model/TaskId.kt
+++ b/src/main/kotlin/mintfield/core/model/TaskId.kt
@@ -1,6 +1,6 @@
 package mintfield.core.model
 
-/** The identity of a task: its job and its number within the job, from 0. */
+/** The identity of a task: the id of its job and its index within the job, from 0. */
 data class TaskId(
     val job: String,
     val index: Int,
@@ -8,11 +8,11 @@
     /** The written form, such as `wk-000412/3`. */
     override fun toString() = "$job$SEPARATOR$index"
 
-    /** Reads the written form. */
+    /** Parser of task ids. */
     companion object {
         private const val SEPARATOR = '/'
 
-        /** The task that [text] names in the form of [toString]; null if it names none. */
+        /** Parses [text] in the form of [toString]; null if it is malformed. */
         fun parse(text: String): TaskId? {
             val separator = text.lastIndexOf(SEPARATOR)
             if (separator <= 0) return null
--- a/src/main/kotlin/mintfield/core/model/TaskStatus.kt
+++ b/src/main/kotlin/mintfield/core/model/TaskStatus.kt
@@ -1,6 +1,6 @@
 package mintfield.core.model
 
-/** What a heartbeat says of one task. */
+/** The status of one task in a heartbeat. */
 data class TaskStatus(
     val task: TaskId,
     val attempt: Long,
--- a/src/main/kotlin/mintfield/core/model/WorkerCommand.kt
+++ b/src/main/kotlin/mintfield/core/model/WorkerCommand.kt
@@ -1,14 +1,14 @@
 package mintfield.core.model
 
-/** A command to a worker, which may be repeated: one that has been carried out has no effect, except a [Start] after an [Acknowledge]. */
+/** A command to a worker. It may be repeated: an executed command has no further effect, except a [Start] after an [Acknowledge]. */
 sealed interface WorkerCommand {
-    /** The task that the command is about. */
+    /** The task to which the command applies. */
     val task: TaskId
 
-    /** The attempt that the command is about; other attempts of the task are not affected. */
+    /** The attempt to which the command applies; other attempts of the task are not affected. */
     val attempt: Long
 
-    /** Starts the attempt, unless the worker knows it in any state. */
+    /** Starts the attempt, unless the worker already knows it, in whatever state. */
     data class Start(
         override val task: TaskId,
         override val attempt: Long,
--- a/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
@@ -87,7 +87,7 @@
     ): Double? =
         when (objective.kind) {
             FINISHED -> objective.withinS
-            DEADLINE -> spec.deadlineS?.let { it * (objective.times ?: 1.0) }
+            DEADLINE -> spec.deadlineS?.let { it * (objective.deadlineFactor ?: 1.0) }
             WAIT -> objective.withinS?.let { it + expectedS }
             else -> null
         }
--- a/src/main/kotlin/mintfield/io/ownership/AssignmentCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/AssignmentCodec.kt
@@ -6,7 +6,7 @@
 import mintfield.io.json.string
 
 /**
- * Maps a block of assignments to its stored form, an object by machine, and back:
+ * Codec of a block of the assignment table. Its stored form is an object with one field per machine:
  * `{"m-1":{"owner":"a"},"m-2":{"owner":"a","releasing":"b"}}`.
  */
 object AssignmentCodec {
@@ -14,13 +14,13 @@
     private const val RELEASING = "releasing"
     private const val OFFERED = "offered"
 
-    /** The trace context of a move; only where moves are traced. */
+    /** The trace context of a move; absent if moves are not traced. */
     private const val TRACE = "trace"
 
-    /** Moves of one block whose trace contexts are written: with more, a block of a large fleet would not fit a value of 8 KiB. */
+    /** The largest number of trace contexts in a block: with more, a block of a large fleet would not fit into a value of 8 KiB. */
     private const val MAX_TRACED = 16
 
-    /** The block with [assignments] by machine. */
+    /** Encodes a block with the [assignments] by machine. */
     fun write(assignments: Map<String, Assignment>): ByteArray =
         Json.obj {
             var traced = 0
@@ -37,7 +37,7 @@
             }
         }
 
-    /** The assignments by machine; null if any of them cannot be read: a block read in part would lose the rest when it is rewritten. */
+    /** Decodes the assignments by machine. Null if any of them is unreadable: a rewrite of a partly read block would lose the others. */
     fun parse(data: Map<String, Any?>): Map<String, Assignment>? = data.mapValues { (_, value) -> assignment(value.asMap()) ?: return null }
 
     private fun assignment(entry: Map<String, Any?>?): Assignment? {
--- a/src/main/kotlin/mintfield/io/ownership/DrainCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/DrainCodec.kt
@@ -2,11 +2,11 @@
 
 import mintfield.io.json.Json
 
-/** Maps the record of drained controllers to its stored form, such as `{"members":["a"]}`, and back. */
+/** Codec of the stored record of drained controllers, such as `{"members":["a"]}`. */
 object DrainCodec {
     private const val MEMBERS = "members"
 
-    /** The record with [members], in order of their names. */
+    /** Encodes [members], sorted by name. */
     fun write(members: Set<String>): ByteArray =
         Json.obj {
             writeArrayFieldStart(MEMBERS)
@@ -14,7 +14,7 @@
             writeEndArray()
         }
 
-    /** The drained controllers; null if [data] is not such a record. */
+    /** Decodes the drained controllers; null if [data] is not a valid record. */
     fun parse(data: Map<String, Any?>): Set<String>? {
         val members = data[MEMBERS] as? List<*> ?: return null
         return members.mapTo(LinkedHashSet()) { it as? String ?: return null }
--- a/src/main/kotlin/mintfield/io/ownership/ForeignTaskCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/ForeignTaskCodec.kt
@@ -9,10 +9,10 @@
 import mintfield.core.ownership.ForeignTaskResponse
 import mintfield.io.peer.decodeOrNull
 
-/** Maps queries about foreign tasks and their answers to the protobuf messages that controllers send to each other, and back. */
+/** Codec of queries about foreign tasks and their responses, in the protobuf messages that controllers send to each other. */
 @OptIn(ExperimentalSerializationApi::class)
 object ForeignTaskCodec {
-    /** The message with [queries] to the leader of [shard]. */
+    /** Encodes [queries] to the leader of [shard]. */
     fun encodeQueries(
         shard: String,
         queries: List<ForeignTaskQuery>,
@@ -21,16 +21,17 @@
         return ProtoBuf.encodeToByteArray(ForeignTaskQueriesMessage.serializer(), message)
     }
 
-    /** The shard asked and what it is asked; null if [bytes] are not such a message. */
+    /** Decodes the queried shard and the queries; null if [bytes] are malformed. */
     fun decodeQueries(bytes: ByteArray): ShardQueries? =
         decodeOrNull(ForeignTaskQueriesMessage.serializer(), bytes)?.let { ShardQueries(it.shard, it.queries.map(::fromMessage)) }
 
-    /** The message with [answers], in the order of the queries. */
-    fun encodeAnswers(answers: List<ForeignTaskResponse>): ByteArray =
-        ProtoBuf.encodeToByteArray(ForeignTaskAnswersMessage.serializer(), ForeignTaskAnswersMessage(answers.map(::toMessage)))
+    /** Encodes [responses], which must be in the order of the queries. */
+    fun encodeResponses(responses: List<ForeignTaskResponse>): ByteArray =
+        ProtoBuf.encodeToByteArray(ForeignTaskResponsesMessage.serializer(), ForeignTaskResponsesMessage(responses.map(::toMessage)))
 
-    /** The answers in the order of the queries; null if [bytes] are not such a message. */
-    fun decodeAnswers(bytes: ByteArray): List<ForeignTaskResponse>? = decodeOrNull(ForeignTaskAnswersMessage.serializer(), bytes)?.answers?.map(::fromMessage)
+    /** Decodes the responses, in the order of the queries; null if [bytes] are malformed. */
+    fun decodeResponses(bytes: ByteArray): List<ForeignTaskResponse>? =
+        decodeOrNull(ForeignTaskResponsesMessage.serializer(), bytes)?.answers?.map(::fromMessage)
 
     private fun toMessage(query: ForeignTaskQuery) = QueryMessage(query.machine, query.tasks.map(::toMessage))
 
@@ -40,18 +41,18 @@
 
     private fun fromMessage(message: TaskRefMessage) = ForeignTaskRef(TaskId(message.job, message.index), message.attempt, message.action)
 
-    private fun toMessage(answer: ForeignTaskResponse): AnswerMessage =
-        when (answer) {
-            ForeignTaskResponse.NotOwner -> AnswerMessage(AnswerKind.NOT_OWNER)
-            ForeignTaskResponse.NoHeartbeatYet -> AnswerMessage(AnswerKind.NO_HEARTBEAT_YET)
-            is ForeignTaskResponse.Status -> AnswerMessage(AnswerKind.STATUS, answer.present.map(::toMessage))
+    private fun toMessage(response: ForeignTaskResponse): QueryResponseMessage =
+        when (response) {
+            ForeignTaskResponse.NotOwner -> QueryResponseMessage(QueryResponseKind.NOT_OWNER)
+            ForeignTaskResponse.NoHeartbeatYet -> QueryResponseMessage(QueryResponseKind.NO_HEARTBEAT_YET)
+            is ForeignTaskResponse.Status -> QueryResponseMessage(QueryResponseKind.STATUS, response.present.map(::toMessage))
         }
 
-    private fun fromMessage(message: AnswerMessage): ForeignTaskResponse =
+    private fun fromMessage(message: QueryResponseMessage): ForeignTaskResponse =
         when (message.kind) {
-            AnswerKind.NOT_OWNER -> ForeignTaskResponse.NotOwner
-            AnswerKind.NO_HEARTBEAT_YET -> ForeignTaskResponse.NoHeartbeatYet
-            AnswerKind.STATUS -> ForeignTaskResponse.Status(message.present.map(::fromMessage))
+            QueryResponseKind.NOT_OWNER -> ForeignTaskResponse.NotOwner
+            QueryResponseKind.NO_HEARTBEAT_YET -> ForeignTaskResponse.NoHeartbeatYet
+            QueryResponseKind.STATUS -> ForeignTaskResponse.Status(message.present.map(::fromMessage))
         }
 
     private fun toMessage(status: TaskStatus) = TaskStatusMessage(status.task.job, status.task.index, status.attempt, status.state, status.cause)
--- a/src/main/kotlin/mintfield/io/ownership/ForeignTaskMessages.kt
+++ b/src/main/kotlin/mintfield/io/ownership/ForeignTaskMessages.kt
@@ -1,5 +1,4 @@
-// A field number of protobuf is read best beside its field.
-@file:Suppress("MagicNumber")
+@file:Suppress("MagicNumber") // field numbers of protobuf are clearest beside their fields
 
 package mintfield.io.ownership
 
@@ -10,7 +9,7 @@
 import mintfield.core.model.TaskState
 import mintfield.core.ownership.ForeignTaskRef
 
-/** The message with a leader's queries to the leader of [shard], about tasks on machines of that shard. */
+/** Queries of a leader to the leader of [shard] about tasks on machines of that shard. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 internal class ForeignTaskQueriesMessage(
@@ -18,7 +17,7 @@
     @ProtoNumber(2) val queries: List<QueryMessage> = emptyList(),
 )
 
-/** A query about tasks on one machine. */
+/** One query, about tasks on one machine. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 internal class QueryMessage(
@@ -26,7 +25,7 @@
     @ProtoNumber(2) val tasks: List<TaskRefMessage> = emptyList(),
 )
 
-/** One attempt of a task that is asked about. */
+/** One attempt in a query, with the requested action. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 internal class TaskRefMessage(
@@ -36,25 +35,25 @@
     @ProtoNumber(4) val action: ForeignTaskRef.Action = ForeignTaskRef.Action.QUERY,
 )
 
-/** The message with the answers, in the order of the queries. */
+/** The responses to the queries of a [ForeignTaskQueriesMessage], in the order of the queries. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
-internal class ForeignTaskAnswersMessage(
-    @ProtoNumber(1) val answers: List<AnswerMessage> = emptyList(),
+internal class ForeignTaskResponsesMessage(
+    @ProtoNumber(1) val answers: List<QueryResponseMessage> = emptyList(),
 )
 
-/** The answer to one query. */
+/** The response to one query. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
-internal class AnswerMessage(
-    @ProtoNumber(1) val kind: AnswerKind,
+internal class QueryResponseMessage(
+    @ProtoNumber(1) val kind: QueryResponseKind,
     @ProtoNumber(2) val present: List<TaskStatusMessage> = emptyList(),
 )
 
-/** Which answer it is. Sent by position, so the order must stay. */
-internal enum class AnswerKind { NOT_OWNER, NO_HEARTBEAT_YET, STATUS }
+/** The kind of a response. It is encoded by position, so the order of the values must not change. */
+internal enum class QueryResponseKind { NOT_OWNER, NO_HEARTBEAT_YET, STATUS }
 
-/** The state of one attempt of a task that is on the machine. */
+/** The status of one attempt that is on the machine. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 internal class TaskStatusMessage(
--- a/src/main/kotlin/mintfield/io/peer/PeerMessageDecoder.kt
+++ b/src/main/kotlin/mintfield/io/peer/PeerMessageDecoder.kt
@@ -5,8 +5,8 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 
 /**
- * Reads a message of a peer; null if [bytes] are no such message. The library reports that by an [IllegalArgumentException], of which its
- * own exception for malformed bytes is a kind.
+ * Decodes a message of a peer; null if [bytes] are malformed. The library throws an [IllegalArgumentException] for them, of which its own
+ * exception for malformed bytes is a subclass.
  */
 @OptIn(ExperimentalSerializationApi::class)
 fun <T> decodeOrNull(
--- a/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
@@ -1,4 +1,4 @@
-@file:Suppress("MagicNumber") // the numbers of the protocol's fields, each beside its field
+@file:Suppress("MagicNumber") // field numbers of protobuf are clearest beside their fields
 
 package mintfield.io.peer
 
@@ -8,8 +8,8 @@
 import mintfield.core.upgrade.Generation
 
 /**
- * The status that a controller sends to each of its peers once a second, in protobuf. A peer of another generation ignores fields that it
- * does not know and takes the defaults of those that it does not get. No safety rule rests on a status.
+ * The status that a controller sends to each of its peers once a second, in protobuf. A peer of another generation ignores unknown fields
+ * and uses the defaults of missing ones. No safety rule depends on a status.
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
@@ -24,17 +24,17 @@
     @ProtoNumber(4) val progress: List<JobProgress> = emptyList(),
     /** The leader's term; 0 if the sender does not lead. */
     @ProtoNumber(5) val term: Long = 0,
-    /** Whether changes of users wait at the sender for the store. */
+    /** Whether writes for users wait at the sender for the store. */
     @ProtoNumber(6) val congested: Boolean = false,
-    /** The incarnation of the receiver's log of cancellations from which the sender has read. */
+    /** The incarnation of the receiver's log of cancellations that the sender last read. */
     @ProtoNumber(7) val readIncarnation: Long = 0,
-    /** The position in that log from which the sender wants to read on. */
+    /** The position in the receiver's log of cancellations from which the sender will read next. */
     @ProtoNumber(8) val readNext: Long = 0,
-    /** The number of the leader's jobs, if [progress] has no room for all of them; else 0. */
+    /** The number of the leader's jobs if [progress] does not hold all of them; otherwise 0. */
     @ProtoNumber(9) val jobs: Int = 0,
     /** The shards that the sender leads; empty if machines are not sharded. */
     @ProtoNumber(10) val shards: List<ShardLeaderStatus> = emptyList(),
-    /** The generation of the sender's program; the first generation does not send it. */
+    /** The generation that the sender runs; the first generation does not send this field. */
     @ProtoNumber(11) val generation: Int = Generation.FIRST,
 )
 
--- a/src/main/kotlin/mintfield/io/peer/RelayMessages.kt
+++ b/src/main/kotlin/mintfield/io/peer/RelayMessages.kt
@@ -1,4 +1,4 @@
-@file:Suppress("MagicNumber") // the numbers of the protocol's fields, each beside its field
+@file:Suppress("MagicNumber") // field numbers of protobuf are clearest beside their fields
 
 package mintfield.io.peer
 
@@ -6,17 +6,17 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 
-/** A worker's heartbeat that came to a controller which does not lead, relayed to the leader. */
+/** A worker's heartbeat, relayed to the leader by another controller that received it. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 class RelayedHeartbeat(
-    /** The name of the controller that relays it. */
+    /** The name of the relaying controller. */
     @ProtoNumber(1) val from: String,
     /** The body of the worker's request. */
     @ProtoNumber(2) val body: ByteArray,
 )
 
-/** A user's request that came to a controller which the store does not serve, relayed to one that it does serve. */
+/** A user's request, relayed by a controller that the store does not serve to one that it does serve. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 class RelayedRequest(
@@ -28,14 +28,14 @@
     @ProtoNumber(3) val body: ByteArray,
 )
 
-/** The response to a relayed heartbeat or request, which goes back to the worker or user as it is. */
+/** The response to a relayed heartbeat or request, which is passed on to the worker or user unchanged. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
-class RelayAnswer(
+class RelayResponse(
     /** The HTTP status. */
     @ProtoNumber(1) val status: Int,
     /** The body. */
     @ProtoNumber(2) val body: ByteArray,
-    /** Seconds after which the request should be repeated; 0 if that is not said. */
+    /** Seconds after which the request should be repeated; 0 if not specified. */
     @ProtoNumber(3) val retryAfterS: Int = 0,
 )
--- a/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
@@ -1,4 +1,4 @@
-@file:Suppress("MagicNumber") // the numbers of the protocol's fields, each beside its field
+@file:Suppress("MagicNumber") // field numbers of protobuf are clearest beside their fields
 
 package mintfield.io.peer
 
@@ -8,7 +8,7 @@
 import mintfield.core.ownership.MachineKind
 import mintfield.core.ownership.ShardLoad
 
-/** A shard that a controller leads, with its load: the part of a [PeerStatus] by which shards are rebalanced. */
+/** A shard that a controller leads, with its load. It is part of a [PeerStatus] and the basis for moves of machines between shards. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 class ShardLeaderStatus(
@@ -16,20 +16,20 @@
     @ProtoNumber(1) val shard: String,
     /** The term of its leader. */
     @ProtoNumber(2) val term: Long,
-    /** CPUs that its jobs wait for and its machines do not have. */
+    /** CPUs that its jobs wait for beyond those of its machines. */
     @ProtoNumber(3) val shortCpus: Double = 0.0,
     /** CPUs of its machines. */
     @ProtoNumber(4) val ownedCpus: Double = 0.0,
-    /** CPUs of its running and waiting tasks together, within the ceilings of their teams. */
+    /** CPUs of its running and waiting tasks together, within the quota ceilings of their teams. */
     @ProtoNumber(5) val wantedCpus: Double = 0.0,
-    /** CPUs of the smallest task that waits for room. */
+    /** CPUs of the smallest task that waits for capacity. */
     @ProtoNumber(6) val smallestCpus: Double = 0.0,
-    /** Kinds of machines that it is short of. */
+    /** Kinds of machines of which it has too few. */
     @ProtoNumber(7) val shortOf: List<Kind> = emptyList(),
-    /** Whether the load is given; a leader that still replays does not know it. */
+    /** Whether the fields of the load are set; a leader that is still replaying does not know its load. */
     @ProtoNumber(8) val loadReported: Boolean = false,
 ) {
-    /** A kind of machines, as [MachineKind]. */
+    /** A kind of machines, the wire form of [MachineKind]. */
     @Serializable
     class Kind(
         @ProtoNumber(1) val type: String,
@@ -37,15 +37,15 @@
         @ProtoNumber(3) val spot: Boolean = false,
     )
 
-    /** The load of the shard; null if it is not given. */
+    /** The load of the shard; null if it was not reported. */
     fun load(): ShardLoad? {
         if (!loadReported) return null
         return ShardLoad(ownedCpus, wantedCpus, shortCpus, smallestCpus, shortOf.mapTo(LinkedHashSet()) { MachineKind(it.type, it.zone, it.spot) })
     }
 
-    /** Makes the status of a shard. */
+    /** Creates statuses from the load of a shard. */
     companion object {
-        /** The status of [shard], which is led with [term]; [load] is null while it is not known. */
+        /** The status of [shard] under the leader of [term]. [load] is null while it is unknown. */
         fun of(
             shard: String,
             term: Long,
--- a/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
@@ -110,6 +110,6 @@
             jobClass = table.optionalText("class"),
             withinS = table.optionalNumber("within_s"),
             targetFraction = table.optionalNumber("share"),
-            times = table.optionalNumber("times"),
+            deadlineFactor = table.optionalNumber("times"),
         )
 }
--- a/src/main/kotlin/mintfield/io/store/Change.kt
+++ b/src/main/kotlin/mintfield/io/store/Change.kt
@@ -1,6 +1,6 @@
 package mintfield.io.store
 
-/** One change of a key, as a watch reports it. */
+/** One change of a key, from the response to a watch. */
 class Change(
     val key: String,
     /** The new value; null if the key was deleted. */
--- a/src/main/kotlin/mintfield/io/store/Changes.kt
+++ b/src/main/kotlin/mintfield/io/store/Changes.kt
@@ -1,12 +1,12 @@
 package mintfield.io.store
 
-/** The response to a watch: all changes below a prefix after some revision. */
+/** The response to a watch: all changes of keys with the watched prefix after the requested revision. */
 class Changes(
     /** The revision of the store up to which the changes are complete. */
     val revision: Long,
     /** The changes, in no particular order. */
     val log: List<Change>,
-    /** The revision asked for is too old, or there are too many changes since: the keys must be listed again. */
+    /** Whether the requested revision is too old, or too many changes followed it: the keys must be listed again. */
     val tooOld: Boolean,
 ) {
     /** The change with the highest revision; null if there is none. */
--- a/src/main/kotlin/mintfield/io/store/Decoded.kt
+++ b/src/main/kotlin/mintfield/io/store/Decoded.kt
@@ -5,14 +5,14 @@
     /** The decoded value; null if the record is invalid. */
     val valueOrNull: T?
 
-    /** The record was understood. */
+    /** The record is valid. */
     data class Valid<T>(
         val value: T,
     ) : Decoded<T> {
         override val valueOrNull: T get() = value
     }
 
-    /** The record cannot be understood: [field] names the first wrong field by its stored name, [problem] what is wrong with it. */
+    /** The record is invalid: [field] is the stored name of the first invalid field, [problem] states what is wrong with it. */
     data class Invalid(
         val field: String,
         val problem: String,
@@ -21,31 +21,31 @@
     }
 }
 
-/** Ends the decoding of a record at its first wrong field. It carries no stack trace, as it never leaves this package. */
-internal class InvalidField(
+/** Thrown at the first invalid field of a record. It has no stack trace, since it is always caught within this package. */
+internal class InvalidFieldException(
     val field: String,
     val problem: String,
 ) : IllegalArgumentException("$field: $problem") {
     override fun fillInStackTrace(): Throwable = this
 }
 
-/** Runs [read] and turns an [InvalidField] into [Decoded.Invalid]. Other exceptions pass. */
+/** Runs [read] and turns an [InvalidFieldException] into [Decoded.Invalid]. Other exceptions propagate. */
 internal inline fun <T> decoding(read: () -> T): Decoded<T> =
     try {
         Decoded.Valid(read())
-    } catch (invalid: InvalidField) {
+    } catch (invalid: InvalidFieldException) {
         Decoded.Invalid(invalid.field, invalid.problem)
     }
 
-/** The value of this result, within an enclosing [decoding]. Throws [InvalidField] if there is none. */
+/** The value of this result. Throws [InvalidFieldException] if there is none, for use within an enclosing [decoding]. */
 internal fun <T> Decoded<T>.valueOrThrow(): T =
     when (this) {
         is Decoded.Valid -> value
-        is Decoded.Invalid -> throw InvalidField(field, problem)
+        is Decoded.Invalid -> throw InvalidFieldException(field, problem)
     }
 
-/** This value, or an [InvalidField] that names [field] and what was expected of it. */
+/** This value if it is not null. Otherwise throws [InvalidFieldException], which names [field] and the [expected] value. */
 internal fun <T : Any> T?.orInvalid(
     field: String,
     expected: String,
-): T = this ?: throw InvalidField(field, "expected $expected")
+): T = this ?: throw InvalidFieldException(field, "expected $expected")
--- a/src/main/kotlin/mintfield/io/store/Entry.kt
+++ b/src/main/kotlin/mintfield/io/store/Entry.kt
@@ -1,6 +1,6 @@
 package mintfield.io.store
 
-/** A key of the store with its value. */
+/** A key of the store with its current value and revision. */
 class Entry(
     val key: String,
     /** The value, a JSON object. */
--- a/src/main/kotlin/mintfield/io/store/GenerationCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/GenerationCodec.kt
@@ -3,11 +3,11 @@
 import mintfield.io.json.Json
 import mintfield.io.json.long
 
-/** The record of the generation that a controller runs (see [mintfield.core.upgrade.Generation]). */
+/** Codec of the stored record of the generation that a controller runs (see [mintfield.core.upgrade.Generation]). */
 object GenerationCodec {
     private const val GENERATION = "generation"
 
-    /** The record of [generation], as JSON. */
+    /** Encodes [generation] as JSON. */
     fun encode(generation: Int): ByteArray = Json.obj { writeNumberField(GENERATION, generation) }
 
     /** The generation that [data] records. */
--- a/src/main/kotlin/mintfield/io/store/JobIdSet.kt
+++ b/src/main/kotlin/mintfield/io/store/JobIdSet.kt
@@ -1,25 +1,25 @@
 package mintfield.io.store
 
 /**
- * A compact form of a set of job ids, so that a long list of predecessors fits one value of the store. Ids that have the same prefix
+ * Codec of a compact form of a set of job ids, so that a long list of predecessors fits into one value of the store. Ids that have the same prefix
  * and number of digits form a group, which is written as the differences between its sorted numbers, in base 36: `wk-000398` and
  * `wk-000405` become `{"wk-6":"b2,7"}`.
  */
 object JobIdSet {
-    /** Base of the written numbers. */
+    /** Base of the encoded numbers. */
     private const val RADIX = 36
 
-    /** The most digits that any [Long] can take; an id with more is kept verbatim. */
+    /** Number of digits that always fit into a [Long]; an id with more is stored verbatim. */
     private const val MAX_DIGITS = 18
 
-    /** The group of ids that are kept verbatim. */
+    /** The group of the ids that are stored verbatim. */
     private const val VERBATIM = ""
 
     /** Separates a prefix from the number of an id. */
     private const val DASH = '-'
     private const val SEPARATOR = ','
 
-    /** The written form of [ids], by group: prefix and number of digits. */
+    /** Encodes [ids] by group; the key of a group is its prefix and number of digits. */
     fun encode(ids: Collection<String>): Map<String, String> =
         ids
             .distinct()
@@ -40,7 +40,7 @@
         }
     }
 
-    /** The ids that [groups] hold, in the order of the groups. */
+    /** Decodes the ids of [groups], in the order of the groups. */
     fun decode(groups: Map<String, Any?>): Decoded<List<String>> =
         decoding {
             val ids = ArrayList<String>()
--- a/src/main/kotlin/mintfield/io/store/JobRecordCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/JobRecordCodec.kt
@@ -12,34 +12,34 @@
 import mintfield.io.worker.JobCodec
 
 /**
- * The record of an accepted job that has not ended: its specification, the time of its acceptance, whether it is cancelled, and the
- * recorded outputs of its first steps (see [JobSteps.recorded]).
+ * Codec of the stored record of an accepted job that has not ended: its specification, the time of its acceptance, whether it is
+ * cancelled, and the recorded outputs of its first steps (see [JobSteps.recorded]).
  */
 object JobRecordCodec {
     private const val INDEPENDENT_SPEC = "spec"
 
     /**
-     * The field of a specification with predecessors. A version that does not know of predecessors finds no specification and
-     * starts nothing; by the usual name it would start the job at once.
+     * The specification of a job with predecessors. A version without support for predecessors finds no specification and starts
+     * nothing; under the name [INDEPENDENT_SPEC] it would start the job at once.
      */
     private const val DEPENDENT_SPEC = "dependent"
 
     /** The predecessors, in the form of [JobIdSet]. */
     private const val PREDECESSORS = "awaits"
 
-    /** When the job was accepted, time of day in milliseconds. */
+    /** The time at which the job was accepted, in milliseconds since the Unix epoch. */
     private const val ACCEPTED_AT_MS = "at"
 
     /** Present, and true, only if the job is cancelled. */
     private const val CANCELLED = "withdrawn"
 
-    /** The machine types that could hold a task when the job was accepted. */
+    /** The machine types with capacity for a task of the job, as of its acceptance. */
     private const val COMPATIBLE_TYPES = "fits"
 
-    /** Stands for a name that was left out of a record. */
+    /** Placeholder for a name that is omitted from a record. */
     private const val OMITTED_NAME = "-"
 
-    /** The record of [job], as JSON. */
+    /** Encodes [job] as JSON. */
     fun encode(job: AcceptedJob): ByteArray =
         Json.obj {
             val dependent = job.spec.predecessors.isNotEmpty()
@@ -65,8 +65,8 @@
     }
 
     /**
-     * The record of [job] with the mark that it is cancelled. A job that was accepted under higher limits may have a record of more
-     * than [maxBytes]; then what only a start of its tasks needs is omitted, since they never start again.
+     * Encodes [job] as a cancelled job. A job that was accepted under higher limits may have a record of more than [maxBytes]; then the
+     * fields that only a start of its tasks needs are omitted, since no task of a cancelled job starts again.
      */
     fun encodeCancelled(
         job: AcceptedJob,
@@ -79,8 +79,8 @@
     }
 
     /**
-     * The job that [data] records, with its [revision] in the store. [recomputeCompatibleTypes] is asked for the compatible machine
-     * types if the record does not hold them.
+     * Decodes [data], a record with the [revision] given. [recomputeCompatibleTypes] determines the compatible machine types if the
+     * record does not have them.
      */
     fun decode(
         data: Map<String, Any?>,
@@ -105,12 +105,12 @@
         val spec =
             when (val parsed = JobCodec.parse(data[INDEPENDENT_SPEC] ?: data[DEPENDENT_SPEC])) {
                 is JobCodec.Parsed.Valid -> parsed.spec
-                is JobCodec.Parsed.Invalid -> throw InvalidField(if (independent) INDEPENDENT_SPEC else DEPENDENT_SPEC, parsed.reason)
+                is JobCodec.Parsed.Invalid -> throw InvalidFieldException(if (independent) INDEPENDENT_SPEC else DEPENDENT_SPEC, parsed.reason)
             }
         return if (independent) spec else spec.copy(predecessors = readPredecessors(data))
     }
 
-    /** Predecessors that cannot be read make the record invalid: the job must not start while it is unknown what it depends on. */
+    /** Unreadable predecessors make the record invalid: a job must not start while its dependencies are unknown. */
     private fun readPredecessors(data: Map<String, Any?>): List<String> {
         val groups = data[PREDECESSORS].asMap().orInvalid(PREDECESSORS, "an object")
         return JobIdSet.decode(groups).valueOrThrow()
--- a/src/main/kotlin/mintfield/io/store/Keys.kt
+++ b/src/main/kotlin/mintfield/io/store/Keys.kt
@@ -1,11 +1,11 @@
 package mintfield.io.store
 
-/** The keys of the store that all leaders share; see [LeaderKeys] for those of a leader. */
+/** The keys of the store that all leaders share. [LeaderKeys] has the keys that belong to one leader. */
 object Keys {
-    /** Prefix of the records of jobs, live and final alike, so that one watch reports both. */
+    /** Common prefix of the records of live jobs and of final states, so that one watch covers both. */
     const val JOBS = "mf/j/"
 
-    /** Prefix of the records of jobs that have not ended. */
+    /** Prefix of the records of live jobs: those that have not ended. */
     const val LIVE = "mf/j/l/"
 
     /** Prefix of the final states of jobs. */
@@ -14,21 +14,21 @@
     /** Prefix of the blocks of the assignment table. */
     const val ASSIGNMENTS = "mf/a/"
 
-    /** The set of drained controllers. It lies among the assignments so that one watch reports both. */
+    /** The key of the set of drained controllers. It begins with [ASSIGNMENTS] so that one watch covers both. */
     const val DRAINED = ASSIGNMENTS + "drained"
 
-    /** Prefix of the generations that the controllers run. */
-    const val VERSIONS = "mf/v/"
+    /** Prefix of the records of the generations that the controllers run. */
+    const val GENERATIONS = "mf/v/"
 
     /** The key of the generation that the controller [member] runs. */
-    fun version(member: String) = VERSIONS + member
+    fun generation(member: String) = GENERATIONS + member
 
-    /** The key of the record of job [id] until it has ended. */
+    /** The key of the record of job [id] while it is live. */
     fun live(id: String) = LIVE + id
 
     /** The key of the final state of job [id]. */
     fun final(id: String) = FINAL + id
 
-    /** The key of the assignment table's block number [block]. */
+    /** The key of block number [block] of the assignment table. */
     fun assignments(block: Int) = ASSIGNMENTS + block
 }
--- a/src/main/kotlin/mintfield/io/store/LeaderKeys.kt
+++ b/src/main/kotlin/mintfield/io/store/LeaderKeys.kt
@@ -1,6 +1,6 @@
 package mintfield.io.store
 
-/** The keys of the store that belong to one leader: the leader of [shard], or the only one if machines are not sharded. */
+/** The keys of the store that belong to one leader: the leader of [shard], or the only leader if [shard] is null (no sharding). */
 class LeaderKeys(
     shard: String? = null,
 ) {
@@ -24,10 +24,10 @@
     /** The key of the round record [key]. */
     fun round(key: String) = rounds + key
 
-    /** The key of the intent to scale out with this [idempotencyKey]. */
+    /** The key of the intent to scale out with [idempotencyKey]. */
     fun intent(idempotencyKey: String) = intents + idempotencyKey
 
-    /** The key of block [block] of the learned state. The first one has no number, as a small fleet has only one. */
+    /** The key of block [block] of the learned state. Block 0 has no number in its key, since a small fleet has only one block. */
     fun learnedState(block: Int) = if (block == 0) learnedState else "$learnedState/$block"
 
     private companion object {
--- a/src/main/kotlin/mintfield/io/store/LearnedStateCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/LearnedStateCodec.kt
@@ -6,7 +6,7 @@
 import mintfield.io.json.asList
 import mintfield.io.json.asMap
 
-/** The record of a block of learned state. It is advisory, so what cannot be read of it is skipped and what does not fit is left out. */
+/** Codec of the stored record of a block of learned state. It is advisory, so unreadable entries are skipped and excess entries omitted. */
 object LearnedStateCodec {
     /** Per job class, the logarithm of the ratio between measured and estimated run times. */
     private const val LOG_RATIOS = "ratio"
@@ -14,23 +14,25 @@
     /** Per image, its size in GB. */
     private const val IMAGE_GB = "gb"
 
-    /** Per suspect job, how often it was probed. */
+    /** Per suspect job, the number of times that it was probed. */
     private const val SUSPECT_JOBS = "doubted"
 
-    /** Per machine, the images that it holds. */
+    /** Per machine, the images in its cache. */
     private const val MACHINES = "machines"
 
-    /** Each time that the record does not fit, this part of its machines is kept. */
+    /** Numerator of the fraction of machines that is kept each time that the record is too large. */
     private const val MACHINES_KEPT_NUMERATOR = 3
+
+    /** Denominator of the fraction of machines that is kept each time that the record is too large. */
     private const val MACHINES_KEPT_DENOMINATOR = 4
 
-    /** What of a learned state goes into its record. */
+    /** The entries of a learned state that are written to its record. */
     private class Selection(
         val machines: List<Map.Entry<String, List<String>>>,
         val classes: List<Map.Entry<String, Double>>,
         val suspectJobs: List<Map.Entry<String, Int>>,
     ) {
-        /** A smaller selection: the last machines are dropped first; then, without any machine, half of the classes and jobs. */
+        /** A smaller selection: drops the last machines of the list; if no machines are left, drops half of the classes and jobs. */
         fun reduced(): Selection {
             val fewerMachines = machines.take(machines.size * MACHINES_KEPT_NUMERATOR / MACHINES_KEPT_DENOMINATOR)
             if (machines.isNotEmpty()) return Selection(fewerMachines, classes, suspectJobs)
@@ -41,8 +43,8 @@
     }
 
     /**
-     * The record of [learnedState] as JSON of at most [maxBytes]: as much is left out as that takes, machines first, then classes and
-     * jobs. Throws [IllegalStateException] if not even an empty record fits.
+     * Encodes [learnedState] as JSON of at most [maxBytes]. Entries that do not fit are omitted, machines first, then classes and jobs.
+     * Throws [IllegalStateException] if not even an empty record fits.
      */
     fun encode(
         learnedState: LearnedState,
@@ -57,7 +59,7 @@
         while (true) {
             val bytes = encode(selection, learnedState.imageGb)
             if (bytes.size <= maxBytes) return bytes
-            check(!selection.isEmpty) { "a value of $maxBytes bytes holds no learned state at all" }
+            check(!selection.isEmpty) { "an empty record of learned state exceeds the limit of $maxBytes bytes" }
             selection = selection.reduced()
         }
     }
@@ -93,7 +95,7 @@
         to.writeEndObject()
     }
 
-    /** The learned state that [data] records, as far as it can be read. */
+    /** Decodes the readable entries of [data]. */
     fun decode(data: Map<String, Any?>): LearnedState =
         LearnedState(
             imageGb = readNumbers(data, IMAGE_GB),
--- a/src/main/kotlin/mintfield/io/store/RoundCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/RoundCodec.kt
@@ -13,8 +13,9 @@
 import mintfield.io.json.string
 
 /**
- * The record of a scheduling round: for every chunk of every job that it changed, the recorded outputs of the plan and done-set steps.
- * Task numbers are written as ranges relative to their chunk (see [TaskChunks]).
+ * Codec of the stored record of a scheduling round: the recorded outputs of the plan and done-set steps for every chunk of every job
+ * that the round changed.
+ * Task numbers are encoded as ranges relative to their chunk (see [TaskChunks]).
  */
 object RoundCodec {
     private const val PARTS = "parts"
@@ -24,7 +25,7 @@
     private const val DONE = "done"
     private const val RELEASED = "free"
 
-    /** A planned group is an array of this many elements, at the positions that follow. */
+    /** Number of elements of the array that represents a planned group. The GROUP_ constants are the positions of its elements. */
     private const val GROUP_SIZE = 4
     private const val GROUP_MACHINE = 0
     private const val GROUP_INCARNATION = 1
@@ -33,13 +34,13 @@
 
     /** A part of a round record that cannot be read. */
     data class UnreadablePart(
-        /** Its job; null if not even that can be read. */
+        /** The id of its job; null if the id cannot be read either. */
         val job: String?,
-        /** What is wrong with it. */
+        /** The reason why it cannot be read. */
         val problem: String,
     )
 
-    /** The record of a round, as JSON. */
+    /** Encodes [record] as JSON. */
     fun encode(record: RoundRecord): ByteArray =
         Json.obj {
             writeArrayFieldStart(PARTS)
@@ -78,7 +79,7 @@
         writeEndArray()
     }
 
-    /** The readable parts of the round that [data] records; each of the others is passed to [onUnreadable], in their order. */
+    /** Decodes the readable parts of the round in [data]. Each unreadable part is passed to [onUnreadable], in the order of the record. */
     fun decode(
         data: Map<String, Any?>,
         onUnreadable: (UnreadablePart) -> Unit,
@@ -95,7 +96,7 @@
         try {
             readPart(data.orInvalid(PARTS, "objects"))
         } catch (expected: RuntimeException) {
-            // A task range that is no number fails in many ways, and none of them may keep a leader from replaying the other parts.
+            // A malformed task range can cause several kinds of exceptions. None of them may keep a leader from replaying the other parts.
             onUnreadable(UnreadablePart(data?.string(JOB), expected.message ?: "unreadable"))
             null
         }
@@ -118,7 +119,7 @@
         base: Int,
     ): List<Int> = if (field in data) TaskChunks.parseRanges(data.string(field).orInvalid(field, "ranges of tasks"), base) else emptyList()
 
-    /** All of the plans or none: tasks of a plan that was skipped would be started a second time. */
+    /** Reads all plans or fails: the tasks of a skipped plan would be started a second time. */
     private fun readPlans(
         plans: Any?,
         base: Int,
--- a/src/main/kotlin/mintfield/io/store/ScaleOutIntentCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/ScaleOutIntentCodec.kt
@@ -6,16 +6,16 @@
 import mintfield.io.json.long
 import mintfield.io.json.string
 
-/** The record of an intent to scale out, written before the cloud is asked. */
+/** Codec of the stored record of an intent to scale out, which is written before the machines are requested from the cloud. */
 object ScaleOutIntentCodec {
     private const val TYPE = "type"
     private const val ZONE = "zone"
     private const val SPOT = "spot"
 
-    /** How many machines are wanted. */
+    /** The number of machines to request. */
     private const val NUMBER = "number"
 
-    /** The record of [intent], as JSON. Its idempotency key is the key of the record. */
+    /** Encodes [intent] as JSON. The idempotency key is the key of the record and not part of the value. */
     fun encode(intent: ScaleOutIntent): ByteArray =
         Json.obj {
             writeStringField(TYPE, intent.type)
@@ -24,7 +24,7 @@
             writeNumberField(NUMBER, intent.number)
         }
 
-    /** The intent that [data], the record of [idempotencyKey], holds. What is missing has a default, since the key alone is of use. */
+    /** Decodes [data], the value of the record [idempotencyKey]. Missing fields get default values, since the intent is of use by its key alone. */
     fun decode(
         idempotencyKey: String,
         data: Map<String, Any?>,
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -8,23 +8,23 @@
 import mintfield.io.loop.RateLimiter
 
 /**
- * Client of the consensus-backed key-value store, which paces its requests to the store's published rate. Its functions suspend until
- * a response or a time limit and run on the event loop; they report failures as [StoreResult] and throw only on cancellation. Calls
- * with `urgent` go before all others that wait for the rate.
+ * Client of the consensus-backed key-value store. It keeps its requests within the store's published rate; calls with `urgent` precede
+ * all others that wait for the rate limiter. Its functions run on the event loop and suspend until a response or a time limit. They
+ * report failures as [StoreResult] and throw only on cancellation.
  */
 class StoreClient(
     private val calls: HttpClient,
-    /** The client for calls that stay open for long, which must not occupy the connections of the others. */
+    /** Client for long polls, which must not occupy the connections of other calls. */
     private val watches: HttpClient,
     private val requests: RateLimiter,
 ) {
-    /** How the store responded to a call: it was served, refused, or not answered at all. */
+    /** The outcome of a call, as a sign of the store's health: a served request, a refusal, or no response. */
     enum class Contact { SERVED, REFUSED, UNRESPONSIVE }
 
-    /** Called after each call, on the event loop. */
+    /** Called with the outcome of each call, on the event loop. */
     var onContact: (Contact) -> Unit = {}
 
-    private suspend fun ask(
+    private suspend fun request(
         method: String,
         path: String,
         body: ByteArray? = null,
@@ -55,30 +55,30 @@
         key: String,
         urgent: Boolean = false,
     ): StoreResult<Entry?> =
-        ask("GET", "/store/$key", urgent = urgent).map { answer ->
-            if (answer.status == HttpStatus.OK) StoreWire.entry(answer, key) else null
+        request("GET", "/store/$key", urgent = urgent).map { response ->
+            if (response.status == HttpStatus.OK) StoreWire.entry(response, key) else null
         }
 
-    /** Lists at most [most] entries whose keys begin with [prefix], from the one that follows the key [after], or from the first. */
+    /** Lists at most [limit] entries whose keys begin with [prefix], in the order of the keys: those after the key [after], or all if it is null. */
     suspend fun list(
         prefix: String,
         after: String?,
-        most: Int,
+        limit: Int,
     ): StoreResult<Page> {
         val start = if (after == null) "" else "&after=$after"
-        return ask("GET", "/store?starts=$prefix$start&most=$most", urgent = true).map { StoreWire.page(it) }
+        return request("GET", "/store?starts=$prefix$start&most=$limit", urgent = true).map { StoreWire.page(it) }
     }
 
-    /** Carries out all [writes] atomically if all [preconditions] hold, and else none. */
+    /** Applies all [writes] atomically if all [preconditions] hold, otherwise none. */
     suspend fun txn(
         preconditions: List<Precondition>,
         writes: List<KeyWrite>,
         urgent: Boolean = false,
-    ): StoreResult<TxnOutcome> = ask("POST", "/txn", StoreWire.transaction(preconditions, writes), urgent).map { StoreWire.outcome(it) }
+    ): StoreResult<TxnOutcome> = request("POST", "/txn", StoreWire.transaction(preconditions, writes), urgent).map { StoreWire.outcome(it) }
 
     /**
-     * Waits up to [waitMs] milliseconds for changes of keys that begin with [prefix], after the revision [after]. With a [waitMs] of 0 it
-     * returns at once with the changes so far.
+     * Waits up to [waitMs] milliseconds for changes after the revision [after] of keys that begin with [prefix]. With a [waitMs] of 0 it
+     * returns the changes so far at once.
      */
     suspend fun watch(
         prefix: String,
@@ -88,21 +88,22 @@
     ): StoreResult<Changes> {
         val client = if (waitMs > 0) watches else calls
         val path = "/watch?starts=$prefix&after=$after&waitMs=$waitMs"
-        val result = ask("GET", path, urgent = urgent, timeoutMs = StoreConstants.STORE_TIMEOUT_MS + waitMs, client = client)
-        // A repeated watch would have a response of the same length or more, while a listing comes in pages.
+        val result = request("GET", path, urgent = urgent, timeoutMs = StoreConstants.STORE_TIMEOUT_MS + waitMs, client = client)
+        // A repeated watch would get a response at least as long, whereas a listing is paged.
         if (result is StoreResult.Unknown && result.tooLarge) return StoreResult.Ok(Changes.TOO_OLD)
         return result.map { StoreWire.changes(it, after) }
     }
 
-    /** Grants a lease that expires unless it is renewed within [lifeMs] milliseconds. */
-    suspend fun grantLease(lifeMs: Long): StoreResult<Long> = ask("POST", "/leases", StoreWire.leaseRequest(lifeMs), urgent = true).map { StoreWire.lease(it) }
+    /** Grants a lease that expires unless it is renewed within [durationMs] milliseconds. */
+    suspend fun grantLease(durationMs: Long): StoreResult<Long> =
+        request("POST", "/leases", StoreWire.leaseRequest(durationMs), urgent = true).map { StoreWire.lease(it) }
 
     /** Renews [lease] for its full time; false if it has expired. */
     suspend fun renewLease(lease: Long): StoreResult<Boolean> {
         val timeoutMs = LeadershipConstants.LEASE_RENEWAL_INTERVAL_MS
-        return ask("POST", "/leases/$lease/renew", ByteArray(0), urgent = true, timeoutMs = timeoutMs).map { it.status == HttpStatus.OK }
+        return request("POST", "/leases/$lease/renew", ByteArray(0), urgent = true, timeoutMs = timeoutMs).map { it.status == HttpStatus.OK }
     }
 
     /** Ends [lease] at once, which deletes the keys attached to it. */
-    suspend fun endLease(lease: Long): StoreResult<Unit> = ask("DELETE", "/leases/$lease", urgent = true).map { }
+    suspend fun endLease(lease: Long): StoreResult<Unit> = request("DELETE", "/leases/$lease", urgent = true).map { }
 }
--- a/src/main/kotlin/mintfield/io/store/StoreResult.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreResult.kt
@@ -4,36 +4,36 @@
 
 /** The result of a call to the store. */
 sealed interface StoreResult<out T> {
-    /** The store answered with [value]. */
+    /** The store responded with [value]. */
     data class Ok<T>(
         val value: T,
     ) : StoreResult<T>
 
     /** The call was not executed and will not be. */
     data class Refused(
-        /** The status of the response; [NOT_SENT] if the request never left. */
+        /** The HTTP status of the response; [NOT_SENT] if the request was not sent. */
         val status: Int,
     ) : StoreResult<Nothing> {
-        /** The permitted rate was exceeded, by all controllers together. */
-        val rateLimited: Boolean get() = status == HttpStatus.TOO_MANY_REQUESTS
+        /** Whether all controllers together exceeded the permitted rate. */
+        val isRateLimited: Boolean get() = status == HttpStatus.TOO_MANY_REQUESTS
     }
 
-    /** No usable response: the call was executed, or was not, or will be later. */
+    /** No usable response: unknown whether the call was executed, and it may still be executed later. */
     data class Unknown(
-        /** What happened, for the log. */
+        /** The reason, for the log. */
         val reason: String,
-        /** A response came, but it is longer than the client accepts. */
+        /** Whether a response was received that is longer than the client accepts. */
         val tooLarge: Boolean = false,
     ) : StoreResult<Nothing>
 
-    /** Statuses that stand for the lack of a response. */
+    /** Status of a request without a response. */
     companion object {
         /** The status of a request that could not be sent. */
         const val NOT_SENT = 0
     }
 }
 
-/** This result with its value, if there is one, replaced by what [transform] makes of it. */
+/** Applies [transform] to the value of a successful result. Other results are returned unchanged. */
 internal inline fun <A, B> StoreResult<A>.map(transform: (A) -> B): StoreResult<B> =
     when (this) {
         is StoreResult.Ok -> StoreResult.Ok(transform(value))
--- a/src/main/kotlin/mintfield/io/store/StoreWire.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreWire.kt
@@ -78,7 +78,7 @@
         when {
             answer.status == HttpStatus.OK -> TxnOutcome.Applied(storeRevision(answer) ?: 0)
             answer.status == HttpStatus.CONFLICT -> TxnOutcome.Failed(failedKeys(answer), storeRevision(answer) ?: 0)
-            answer.json.string(ERROR) == ERROR_NO_LEASE -> TxnOutcome.LeaseGone
+            answer.json.string(ERROR) == ERROR_NO_LEASE -> TxnOutcome.LeaseNotFound
             else -> TxnOutcome.Malformed(String(answer.body))
         }
 
--- a/src/main/kotlin/mintfield/io/store/TxnOutcome.kt
+++ b/src/main/kotlin/mintfield/io/store/TxnOutcome.kt
@@ -1,6 +1,6 @@
 package mintfield.io.store
 
-/** The outcome of a compare-and-swap transaction that the store answered. */
+/** The outcome of a compare-and-swap transaction, from the response of the store. */
 sealed interface TxnOutcome {
     /** All writes were applied, at [revision]. */
     data class Applied(
@@ -13,12 +13,12 @@
         val revision: Long,
     ) : TxnOutcome
 
-    /** Nothing was written: a lease that a write names has expired. */
-    data object LeaseGone : TxnOutcome
+    /** Nothing was written: the lease that a write names has expired or does not exist. */
+    data object LeaseNotFound : TxnOutcome
 
-    /** Nothing was written, nor would be if it were repeated: the transaction exceeds a limit or is wrong. */
+    /** Nothing was written, and the same transaction would fail again: it exceeds a limit or is malformed. */
     data class Malformed(
-        /** What the store said, for the log. */
+        /** The body of the response, for the log. */
         val reason: String,
     ) : TxnOutcome
 }
--- a/src/main/kotlin/mintfield/io/store/ZoneFenceCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/ZoneFenceCodec.kt
@@ -5,13 +5,13 @@
 import mintfield.io.json.asList
 import mintfield.io.json.long
 
-/** The record of a zone fence: the machines that no leader answers while it stands. */
+/** Codec of the stored record of a zone fence: the machines whose heartbeats get no response while the fence is in force. */
 object ZoneFenceCodec {
-    /** Since when the machines have not been answered, time of day in milliseconds. */
+    /** The time since which the machines have had no response, in milliseconds since the Unix epoch. */
     private const val SINCE_MS = "since"
     private const val MACHINES = "machines"
 
-    /** The record of [fence], as JSON. Its key is the key of the record. */
+    /** Encodes [fence] as JSON. The key of the fence is the key of its record and not part of the value. */
     fun encode(fence: ZoneFence): ByteArray =
         Json.obj {
             writeNumberField(SINCE_MS, fence.sinceWallMs)
@@ -20,7 +20,7 @@
             writeEndArray()
         }
 
-    /** The zone fence that [data], the record of [key], holds. */
+    /** Decodes the zone fence whose record has the key [key] and the value [data]. */
     fun decode(
         key: String,
         data: Map<String, Any?>,
--- a/src/main/kotlin/mintfield/io/worker/CommandCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/CommandCodec.kt
@@ -4,7 +4,7 @@
 import mintfield.core.model.WorkerCommand
 import mintfield.io.json.Json
 
-/** Commands to a worker, in the body of the response to its heartbeat or of a direct request. */
+/** Encoder of commands to a worker, for the body of the response to its heartbeat or of a direct request. */
 object CommandCodec {
     private const val TERM = "staff"
     private const val INCARNATION = "season"
@@ -13,13 +13,13 @@
     private const val TASK = "piece"
     private const val ATTEMPT = "sowing"
 
-    /** Seconds that a task has to save a checkpoint before it is stopped. */
+    /** Seconds in which a task may save a checkpoint before it is stopped. */
     private const val GRACE_S = "graceS"
     private const val VERB_START = "run"
     private const val VERB_STOP = "halt"
     private const val VERB_ACKNOWLEDGE = "clear"
 
-    /** The body that gives [commands] under [term]; a direct request names the worker's [incarnation] as well. */
+    /** Encodes [commands] with the fencing token [term]. A direct request also has the [incarnation] of the worker; otherwise it is null. */
     fun encode(
         term: Long,
         incarnation: Long?,
--- a/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
@@ -11,8 +11,8 @@
 import mintfield.io.json.Json
 
 /**
- * Heartbeats of workers. They are by far the most frequent messages, so they are read as a stream, without a tree and without any
- * object besides the result. Words of later versions are ignored, or taken for the most cautious of the known ones.
+ * Decoder of heartbeats. They are by far the most frequent messages, so they are parsed as a stream, without a tree and without any
+ * object besides the result. Unknown fields are ignored; an unknown state or exit reason is mapped to the most cautious known one.
  */
 object HeartbeatCodec {
     private const val MACHINE = "plot"
@@ -24,7 +24,7 @@
     private const val SEQUENCE = "tally"
     private const val TERM_SEEN = "staff"
 
-    /** Seconds until the cloud takes the machine away; null without a notice. */
+    /** Seconds until the cloud terminates the machine; null without a termination notice. */
     private const val TERMINATION_NOTICE_S = "reclaimS"
     private const val TASKS = "pieces"
     private const val TASK = "piece"
@@ -34,30 +34,30 @@
 
     private const val STATE_PULLING = "pulling"
 
-    /** Of a task of a gang: its image is there, and it waits for the others. */
-    private const val STATE_GATHERING = "gathering"
-    private const val STATE_SAVING = "saving"
+    /** State of a gang task whose image is present and which waits for the other tasks of its gang. */
+    private const val STATE_WAITING_FOR_GANG = "gathering"
+    private const val STATE_CHECKPOINTING = "saving"
     private const val STATE_ENDED = "ended"
 
     private const val REASON_DONE = "done"
     private const val REASON_STOPPED = "stopped"
     private const val REASON_ERROR = "error"
-    private const val REASON_NO_ROOM = "no_room"
-    private const val REASON_IN_USE = "in_use"
-    private const val REASON_NO_SUCH = "no_such"
-    private const val REASON_MATES_GONE = "mates_gone"
-    private const val REASON_INCOMPLETE = "incomplete"
+    private const val REASON_INSUFFICIENT_RESOURCES = "no_room"
+    private const val REASON_ALREADY_RUNNING = "in_use"
+    private const val REASON_UNKNOWN_TASK = "no_such"
+    private const val REASON_GANG_MEMBERS_LOST = "mates_gone"
+    private const val REASON_GANG_INCOMPLETE = "incomplete"
 
-    /** Stands for a number that a heartbeat does not give. */
+    /** Initial value of a number, which remains if the heartbeat does not have the field. */
     private const val MISSING = -1L
 
-    /** The position of a list of tasks that is not to be cached. */
+    /** Position of a task list that must not be cached. */
     private const val NOT_CACHEABLE = -1
 
-    /** The heartbeat in [bytes]; null if they are not JSON or lack the machine, the incarnation or the sequence. */
+    /** Decodes [bytes]; null if they are not a JSON object or lack the machine, the incarnation or the sequence. */
     fun decode(bytes: ByteArray): Heartbeat? = decode(bytes, null)
 
-    /** The same; a list of tasks that is in [cache] is not read again. */
+    /** Decodes [bytes] as the public function does, but does not parse a task list that is in [cache]. */
     internal fun decode(
         bytes: ByteArray,
         cache: TaskListCache?,
@@ -68,7 +68,7 @@
             null
         }
 
-    /** Reads the fields into local variables: an object that holds them would be one more for each heartbeat. */
+    /** Reads the fields into local variables: a builder would be one more allocation per heartbeat. */
     private fun read(
         parser: JsonParser,
         bytes: ByteArray,
@@ -92,7 +92,7 @@
                 cacheableFrom = parser.currentTokenLocation().byteOffset.toInt()
                 val cached = cache?.find(machine, bytes, cacheableFrom)
                 tasks = cached ?: readTasks(parser)
-                // The rest is the same as that of an earlier heartbeat, in which no field followed the tasks.
+                // The remaining bytes equal those of an earlier heartbeat, in which no field followed the tasks.
                 if (cached != null) break
                 continue
             }
@@ -151,8 +151,8 @@
 
     private fun stateOf(word: String?): TaskState =
         when (word) {
-            STATE_PULLING, STATE_GATHERING -> TaskState.PULLING
-            STATE_SAVING -> TaskState.CHECKPOINTING
+            STATE_PULLING, STATE_WAITING_FOR_GANG -> TaskState.PULLING
+            STATE_CHECKPOINTING -> TaskState.CHECKPOINTING
             STATE_ENDED -> TaskState.ENDED
             else -> TaskState.RUNNING
         }
@@ -163,10 +163,10 @@
             REASON_DONE -> ExitReason.DONE
             REASON_STOPPED -> ExitReason.STOPPED
             REASON_ERROR -> ExitReason.ERROR
-            REASON_NO_ROOM -> ExitReason.INSUFFICIENT_RESOURCES
-            REASON_IN_USE -> ExitReason.ALREADY_RUNNING
-            REASON_NO_SUCH -> ExitReason.UNKNOWN_TASK
-            REASON_MATES_GONE, REASON_INCOMPLETE -> ExitReason.GANG_INCOMPLETE
+            REASON_INSUFFICIENT_RESOURCES -> ExitReason.INSUFFICIENT_RESOURCES
+            REASON_ALREADY_RUNNING -> ExitReason.ALREADY_RUNNING
+            REASON_UNKNOWN_TASK -> ExitReason.UNKNOWN_TASK
+            REASON_GANG_MEMBERS_LOST, REASON_GANG_INCOMPLETE -> ExitReason.GANG_INCOMPLETE
             else -> ExitReason.UNKNOWN
         }
 }
--- a/src/main/kotlin/mintfield/io/worker/HeartbeatReader.kt
+++ b/src/main/kotlin/mintfield/io/worker/HeartbeatReader.kt
@@ -3,15 +3,15 @@
 import mintfield.core.model.Heartbeat
 
 /**
- * Reads heartbeats and remembers each machine's last list of tasks. Most heartbeats repeat it byte by byte; then it is not parsed
- * again, and the heartbeat has the same list object, by which its receiver knows that nothing changed. Not thread-safe.
+ * Decodes heartbeats and caches the last task list of each machine. Most heartbeats repeat that list byte by byte; then it is not parsed
+ * again, and the heartbeat has the same list object, so that the receiver can detect an unchanged list by identity. Not thread-safe.
  */
 class HeartbeatReader(
-    /** Machines that are remembered: at least as many as can send heartbeats here. */
+    /** Capacity of the cache: at least the number of machines that can send heartbeats to this controller. */
     maxMachines: Int,
 ) {
     private val cache = TaskListCache(maxMachines)
 
-    /** The heartbeat in [bytes], which must not be changed afterwards; null if they are none (see [HeartbeatCodec.decode]). */
+    /** Decodes [bytes], which must not be modified afterwards; null if they are not a valid heartbeat (see [HeartbeatCodec.decode]). */
     fun read(bytes: ByteArray): Heartbeat? = HeartbeatCodec.decode(bytes, cache)
 }
--- a/src/main/kotlin/mintfield/io/worker/JobCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/JobCodec.kt
@@ -6,18 +6,18 @@
 import mintfield.core.model.Shape
 import mintfield.io.json.asMap
 
-/** Job specifications: as users submit them, and as the records of jobs hold them. */
+/** Codec of job specifications, for submissions of users and stored job records. */
 object JobCodec {
-    /** The result of reading a submitted job. */
+    /** The result of parsing a job specification. */
     sealed interface Parsed {
         /** A complete specification with permitted values. */
         data class Valid(
             val spec: JobSpec,
         ) : Parsed
 
-        /** Not a specification, for the [reason] given, which names the field. */
+        /** Not a valid specification. The [reason] names the invalid field. */
         data class Invalid(
-            /** The job's id, if at least that is valid: a job that is known already stays known, whatever else is wrong. */
+            /** The job's id; null if it is invalid too. With it, a job that is already known is recognized whatever else is wrong. */
             val id: String?,
             val reason: String,
         ) : Parsed
@@ -34,7 +34,7 @@
             text.substring(dash + 1).all { it in '0'..'9' }
     }
 
-    /** Reads the specification in [tree], a tree of [mintfield.io.json.Json.parse]. */
+    /** Parses the specification in [tree], a result of [mintfield.io.json.Json.parse]. */
     fun parse(tree: Any?): Parsed {
         val fields = tree.asMap() ?: return Parsed.Invalid(null, "the body is not a JSON object")
         val id = (fields[JobFields.ID] as? String)?.takeIf { isId(it) } ?: return Parsed.Invalid(null, "id: expected a job id such as wk-000412")
@@ -86,7 +86,7 @@
     }
 }
 
-/** The wire's names for the fields of a job specification, and its words for their values. */
+/** The names of the fields of a job specification on the wire, and the words for the values of its enums. */
 internal object JobFields {
     const val ID = "id"
     const val JOB_CLASS = "bench"
--- a/src/main/kotlin/mintfield/io/worker/JobPhaseCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/JobPhaseCodec.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.model.JobPhase
 
-/** The protocol's word for each phase of a job, in responses to users and in recorded final states. */
+/** Codec of the phase of a job, for responses to users and stored final states. */
 object JobPhaseCodec {
     private val PHASES =
         WireWords(
--- a/src/main/kotlin/mintfield/io/worker/JobSpecReader.kt
+++ b/src/main/kotlin/mintfield/io/worker/JobSpecReader.kt
@@ -4,16 +4,16 @@
 import mintfield.io.json.Json
 import mintfield.io.json.asList
 
-/** A submitted job is not valid: the message names the field and what is expected of it. It carries no stack trace. */
+/** Thrown for an invalid job specification. The [reason] names the field and the expected value. It has no stack trace. */
 internal class InvalidJobException(
     val reason: String,
 ) : Exception(reason, null, false, false)
 
-/** Reads a job specification from the [fields] of a JSON object. The first invalid field ends it with an [InvalidJobException]. */
+/** Reads a job specification from the [fields] of a JSON object. Throws [InvalidJobException] at the first invalid field. */
 internal class JobSpecReader(
     private val fields: Map<String, Any?>,
 ) {
-    /** The specification of job [id]. */
+    /** Reads the specification of job [id]. */
     fun read(id: String) =
         JobSpec(
             id = id,
@@ -78,7 +78,7 @@
         return list.map { item -> (item as? String)?.takeIf(::isName) ?: invalid(field, "names") }
     }
 
-    /** Names that are no job ids pass: such a job was never accepted, and the check for that reports it. */
+    /** Strings that are not job ids are permitted here: the later check that each predecessor was accepted rejects them. */
     private fun predecessors(): List<String> {
         val value = fields[JobFields.PREDECESSORS] ?: return emptyList()
         val list = value.asList() ?: invalid(JobFields.PREDECESSORS, "a list or null")
@@ -89,7 +89,7 @@
         const val MAX_TASKS = 100_000
         const val MAX_NAME_LENGTH = 200
 
-        /** The largest amount of anything: of CPUs, GB or seconds. */
+        /** The largest permitted number of CPUs, GPUs, GB or seconds. */
         const val MAX_AMOUNT = 1e9
     }
 }
--- a/src/main/kotlin/mintfield/io/worker/JobStatusCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/JobStatusCodec.kt
@@ -3,14 +3,14 @@
 import mintfield.core.model.JobPhase
 import mintfield.io.json.Json
 
-/** The state of a job in a response to its user. */
+/** Encoder of the status of a job, for responses to users. */
 object JobStatusCodec {
     private const val ID = "id"
     private const val PHASE = "stage"
     private const val DONE_TASKS = "done"
     private const val RUNNING_TASKS = "running"
 
-    /** The body that gives the [phase] of job [id] and how many of its tasks are done and run. */
+    /** Encodes the [phase] of job [id] with the numbers of its done and running tasks. */
     fun encode(
         id: String,
         phase: JobPhase,
--- a/src/main/kotlin/mintfield/io/worker/TaskListCache.kt
+++ b/src/main/kotlin/mintfield/io/worker/TaskListCache.kt
@@ -3,7 +3,7 @@
 import mintfield.core.model.TaskStatus
 import java.util.Arrays
 
-/** The last list of tasks of each machine, together with the bytes that it was read from. The least recently used machines drop out. */
+/** LRU cache of the last task list of each machine, with the bytes from which the list was decoded. */
 internal class TaskListCache(
     private val maxMachines: Int,
 ) {
@@ -18,7 +18,7 @@
             override fun removeEldestEntry(eldest: MutableMap.MutableEntry<String, CachedTasks>) = size > maxMachines
         }
 
-    /** The tasks last read for [machine], if all bytes of [body] from [from] on are the same as then; else null. */
+    /** The cached tasks of [machine] if the bytes of [body] from [from] on equal those from which they were decoded; null otherwise. */
     fun find(
         machine: String?,
         body: ByteArray,
@@ -29,7 +29,7 @@
         return if (same) cached.tasks else null
     }
 
-    /** Keeps the [tasks] of [machine], which the bytes of [body] from [from] to its end hold and nothing else. */
+    /** Caches the [tasks] of [machine]. The bytes of [body] from [from] to its end must hold these tasks and no further field. */
     fun store(
         machine: String?,
         body: ByteArray,
--- a/src/main/kotlin/mintfield/io/worker/WireWords.kt
+++ b/src/main/kotlin/mintfield/io/worker/WireWords.kt
@@ -1,6 +1,6 @@
 package mintfield.io.worker
 
-/** A one-to-one table between values of the model and the words that stand for them on the wire. */
+/** A one-to-one mapping between values of the model and the words that represent them on the wire. */
 internal class WireWords<T : Any>(
     vararg entries: Pair<T, String>,
 ) {
--- a/src/main/kotlin/mintfield/io/worker/WorkerRedirectCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/WorkerRedirectCodec.kt
@@ -2,10 +2,10 @@
 
 import mintfield.io.json.Json
 
-/** The body of a response that redirects a worker to another controller. */
+/** Encoder of the response that redirects a worker to another controller. */
 object WorkerRedirectCodec {
     private const val CONTROLLER = "steward"
 
-    /** Redirects to the controller [to], or if that is null to whichever comes next in the worker's list. */
+    /** Encodes a redirect to the controller [to] or, if it is null, to the next controller in the worker's list. */
     fun encode(to: String?): ByteArray = Json.obj { to?.let { writeStringField(CONTROLLER, it) } }
 }
