--- a/src/main/kotlin/mintfield/core/model/Objective.kt
+++ b/src/main/kotlin/mintfield/core/model/Objective.kt
@@ -10,6 +10,6 @@
     val withinS: Double?,
     /** The fraction of jobs or tasks that should meet it, from 0 to 1. */
     val targetFraction: Double?,
-    /** The factor by which the owner's deadline may be exceeded. */
+    /** The factor by which the owner's deadline is multiplied. */
     val deadlineFactor: Double?,
 )
--- a/src/main/kotlin/mintfield/core/model/Settings.kt
+++ b/src/main/kotlin/mintfield/core/model/Settings.kt
@@ -21,7 +21,7 @@
     val objectives: List<Objective>,
     /** Seconds between two heartbeats of a worker. */
     val heartbeatIntervalS: Double,
-    /** Seconds after the last heartbeat with a response until a worker's lease expires. */
+    /** Seconds from a worker's last answered heartbeat until its lease expires. */
     val leaseS: Double,
     /** Seconds after a confirmed cancellation within which all tasks of the job must have ended. */
     val cancelS: Double,
--- a/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
@@ -24,7 +24,7 @@
     @ProtoNumber(4) val progress: List<JobProgress> = emptyList(),
     /** The leader's term; 0 if the sender does not lead. */
     @ProtoNumber(5) val term: Long = 0,
-    /** Whether writes for users wait at the sender for the store. */
+    /** Whether writes requested by users are queued at the sender until the store accepts them. */
     @ProtoNumber(6) val congested: Boolean = false,
     /** The incarnation of the receiver's log of cancellations that the sender last read. */
     @ProtoNumber(7) val readIncarnation: Long = 0,
--- a/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
@@ -16,7 +16,7 @@
     @ProtoNumber(1) val shard: String,
     /** The term of its leader. */
     @ProtoNumber(2) val term: Long,
-    /** CPUs that its jobs wait for beyond those of its machines. */
+    /** CPUs that its jobs wait for and its machines lack. */
     @ProtoNumber(3) val shortCpus: Double = 0.0,
     /** CPUs of its machines. */
     @ProtoNumber(4) val ownedCpus: Double = 0.0,
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -18,7 +18,7 @@
     private val watches: HttpClient,
     private val requests: RateLimiter,
 ) {
-    /** The outcome of a call, as a sign of the store's health: a served request, a refusal, or no response. */
+    /** The outcome of a call, for the detection of failures of the store: served, refused, or without a response. */
     enum class Contact { SERVED, REFUSED, UNRESPONSIVE }
 
     /** Called with the outcome of each call, on the event loop. */
