--- a/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/ShardLeaderStatus.kt
@@ -16,15 +16,15 @@
     @ProtoNumber(1) val shard: String,
     /** The term of its leader. */
     @ProtoNumber(2) val term: Long,
-    /** CPUs that its jobs wait for and its machines lack. */
+    /** CPUs of the waiting tasks that fit on none of its machines. */
     @ProtoNumber(3) val shortCpus: Double = 0.0,
     /** CPUs of its machines. */
     @ProtoNumber(4) val ownedCpus: Double = 0.0,
     /** CPUs of its running and waiting tasks together, within the quota ceilings of their teams. */
     @ProtoNumber(5) val wantedCpus: Double = 0.0,
-    /** CPUs of the smallest task that waits for capacity. */
+    /** CPUs of the smallest task counted in [shortCpus]; 0 if there is none. */
     @ProtoNumber(6) val smallestCpus: Double = 0.0,
-    /** Kinds of machines of which it has too few. */
+    /** The kinds of machines that could run at least one task counted in [shortCpus]. */
     @ProtoNumber(7) val shortOf: List<Kind> = emptyList(),
     /** Whether the fields of the load are set; a leader that is still replaying does not know its load. */
     @ProtoNumber(8) val loadReported: Boolean = false,
