--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -142,7 +142,7 @@
 
     /** Records a job as accepted and cancelled, because a job that it depends on is cancelled. */
     private suspend fun acceptCancelled(id: String): Response {
-        val cancelled = FinalState(JobPhase.CANCELLED, tasks = 0, System.currentTimeMillis())
+        val cancelled = FinalState(JobPhase.CANCELLED, doneTasks = 0, System.currentTimeMillis())
         return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
             replicator.ended(id, cancelled)
             statuses.acceptedAsCancelled(id)
--- a/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
+++ b/src/main/kotlin/mintfield/app/api/UserWriteBatcher.kt
@@ -145,7 +145,7 @@
         val limitsWhenSent = limits.current
         return when (val result = store.txn(batch.flatMap { it.preconditions }, batch.flatMap { it.writes })) {
             is StoreResult.Ok -> handleOutcome(batch, limitsWhenSent, result.value)
-            is StoreResult.Refused -> if (result.rateLimited) backOff(batch) else completeAll(batch, WriteResult.REFUSED)
+            is StoreResult.Refused -> if (result.isRateLimited) backOff(batch) else completeAll(batch, WriteResult.REFUSED)
             is StoreResult.Unknown -> {
                 Log.info("user writes: no response to a transaction of ${batch.size} changes: ${result.reason}")
                 completeAll(batch, WriteResult.UNKNOWN)
@@ -165,7 +165,7 @@
             }
             is TxnOutcome.Failed -> completeConflicts(batch, outcome)
             is TxnOutcome.Malformed -> handleMalformed(batch, limitsWhenSent, outcome)
-            TxnOutcome.LeaseGone -> completeAll(batch, WriteResult.REFUSED)
+            TxnOutcome.LeaseNotFound -> completeAll(batch, WriteResult.REFUSED)
         }
 
     /** Completes the changes of [batch] whose preconditions failed and returns the others, which a conflict must not fail. */
@@ -204,7 +204,7 @@
         outcome: TxnOutcome.Malformed,
     ): List<Change> {
         val first = batch.first()
-        if (limits.refused(limitsWhenSent)) {
+        if (limits.recordMalformed(limitsWhenSent)) {
             applyLimitsInForce()
         } else if (batch.size > 1) {
             maxOps = first.writes.size
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -100,7 +100,7 @@
             is TxnOutcome.Applied -> CommitResult.Done(outcome.revision)
             is TxnOutcome.Failed -> handleFailedPreconditions(outcome.keys)
             is TxnOutcome.Malformed -> handleMalformed(outcome, transaction)
-            TxnOutcome.LeaseGone -> {
+            TxnOutcome.LeaseNotFound -> {
                 leadership.leaseExpired()
                 CommitResult.Refused
             }
@@ -114,7 +114,7 @@
         outcome: TxnOutcome.Malformed,
         transaction: CommitTransaction,
     ): CommitResult {
-        check(limits.refused(transaction.limits)) { "the state service rejected a transaction as malformed: ${outcome.reason}" }
+        check(limits.recordMalformed(transaction.limits)) { "the state service rejected a transaction as malformed: ${outcome.reason}" }
         Log.info("the state service has lowered its limits: ${limits.current}")
         return CommitResult.Refused
     }
--- a/src/main/kotlin/mintfield/io/store/StoreWire.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreWire.kt
@@ -74,27 +74,27 @@
     }
 
     /** The outcome that the response to a transaction reports. */
-    fun outcome(answer: HttpResult.Received): TxnOutcome =
+    fun outcome(response: HttpResult.Received): TxnOutcome =
         when {
-            answer.status == HttpStatus.OK -> TxnOutcome.Applied(storeRevision(answer) ?: 0)
-            answer.status == HttpStatus.CONFLICT -> TxnOutcome.Failed(failedKeys(answer), storeRevision(answer) ?: 0)
-            answer.json.string(ERROR) == ERROR_NO_LEASE -> TxnOutcome.LeaseGone
-            else -> TxnOutcome.Malformed(String(answer.body))
+            response.status == HttpStatus.OK -> TxnOutcome.Applied(storeRevision(response) ?: 0)
+            response.status == HttpStatus.CONFLICT -> TxnOutcome.Failed(failedKeys(response), storeRevision(response) ?: 0)
+            response.json.string(ERROR) == ERROR_NO_LEASE -> TxnOutcome.LeaseNotFound
+            else -> TxnOutcome.Malformed(String(response.body))
         }
 
-    private fun failedKeys(answer: HttpResult.Received): List<String> =
-        answer.json[FAILED_KEYS]
+    private fun failedKeys(response: HttpResult.Received): List<String> =
+        response.json[FAILED_KEYS]
             .asList()
             .orEmpty()
             .filterIsInstance<String>()
 
-    private fun storeRevision(answer: HttpResult.Received): Long? = answer.json.long(STORE_REVISION)
+    private fun storeRevision(response: HttpResult.Received): Long? = response.json.long(STORE_REVISION)
 
     /** The entry of [key] that a response holds. */
     fun entry(
-        answer: HttpResult.Received,
+        response: HttpResult.Received,
         key: String,
-    ): Entry = entry(answer.json, key)
+    ): Entry = entry(response.json, key)
 
     private fun entry(
         json: Map<String, Any?>,
@@ -102,24 +102,24 @@
     ) = Entry(json.string(KEY) ?: key, json[DATA].asMap() ?: emptyMap(), json.long(KEY_REVISION) ?: 0, json.long(LEASE))
 
     /** The page of a listing that a response holds. */
-    fun page(answer: HttpResult.Received): Page {
-        val entries = answer.json[ENTRIES].asList().orEmpty()
+    fun page(response: HttpResult.Received): Page {
+        val entries = response.json[ENTRIES].asList().orEmpty()
         return Page(
             entries = entries.mapNotNull { item -> item.asMap()?.let { entry(it, key = "") } },
-            hasNext = answer.json[HAS_NEXT] == true,
-            revision = storeRevision(answer) ?: 0,
+            hasNext = response.json[HAS_NEXT] == true,
+            revision = storeRevision(response) ?: 0,
         )
     }
 
     /** The changes after the revision [after] that the response to a watch holds. */
     fun changes(
-        answer: HttpResult.Received,
+        response: HttpResult.Received,
         after: Long,
     ): Changes {
-        if (answer.status == HttpStatus.GONE) return Changes.TOO_OLD
-        val log = answer.json[CHANGES].asList().orEmpty()
+        if (response.status == HttpStatus.GONE) return Changes.TOO_OLD
+        val log = response.json[CHANGES].asList().orEmpty()
         return Changes(
-            revision = storeRevision(answer) ?: after,
+            revision = storeRevision(response) ?: after,
             log = log.mapNotNull { item -> item.asMap()?.let(::change) },
             tooOld = false,
         )
@@ -135,5 +135,5 @@
     fun leaseRequest(durationMs: Long): ByteArray = Json.obj { writeNumberField(LEASE_DURATION_MS, durationMs) }
 
     /** The lease that a response grants; 0, which never exists, if it names none. */
-    fun lease(answer: HttpResult.Received): Long = answer.json.long(LEASE) ?: 0
+    fun lease(response: HttpResult.Received): Long = response.json.long(LEASE) ?: 0
 }
