--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -67,7 +67,7 @@
     fun ended(
         id: String,
         state: FinalState,
-    ) = replica.ended(id, state)
+    ) = replica.onJobEnded(id, state)
 
     /** True once the replica shows everything that had happened in the state service when this was called; false without an answer. */
     suspend fun current(): Boolean = freshness.await()
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -43,7 +43,7 @@
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
         val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
         if (state != null) {
-            replica.ended(id, state)
+            replica.onJobEnded(id, state)
         } else if (id in replica.dependencies.unresolved) {
             // Its record may have come while the final state was read; if not, nothing shows how it ended.
             Log.error("$id, on which other jobs depend, has neither a record nor a final state that can be read: they wait")
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -22,7 +22,7 @@
     private val remoteTaskFollower: RemoteTaskFollower,
 ) {
     /** The load of the shard; null while its jobs are not loaded yet. */
-    fun load(): ShardLoad? = if (scheduler.loaded) meter.measure() else null
+    fun load(): ShardLoad? = if (scheduler.isReplayComplete) meter.measure() else null
 
     /** Answers the leader of another shard about its tasks on machines of this one, in the order of [queries]. */
     fun answer(queries: List<ForeignTaskQuery>): List<ForeignTaskResponse> = queries.map { responder.respond(it, loop.nowMs()) }
--- a/src/main/kotlin/mintfield/core/Cluster.kt
+++ b/src/main/kotlin/mintfield/core/Cluster.kt
@@ -22,7 +22,7 @@
     /** The term at the election. The leader's later terms are higher. */
     val firstTerm: Long,
     val ownership: Ownership = WholeFleet,
-    /** The limits that the state service enforces at present. */
+    /** The limits that the store enforces at present. */
     private val stateLimits: StateLimitsInForce = StateLimitsInForce(settings),
     private val log: (String) -> Unit,
 ) {
@@ -51,7 +51,7 @@
     /** Set when a job has become ready, to run a scheduling round before the next one is due. */
     var roundRequested = false
 
-    /** Time at which this leader's replay ended, on the steady clock. */
+    /** Time at which this leader's replay ended, on the monotonic clock. */
     var replayedAtMs = 0L
 
     /** Time before which no scheduling round places tasks, because a round record could not be read. */
@@ -113,7 +113,7 @@
         nowMs: Long,
         proof: String,
     ) {
-        if (!attempt.live) return
+        if (!attempt.isLive) return
         val job = attempt.job
         attempt.moveTo(AttemptState.RELEASED, nowMs)
         attempt.machine.vacate(attempt)
@@ -132,7 +132,7 @@
         reason: String,
         quietly: Boolean = false,
     ) {
-        if (!attempt.live || attempt.state == AttemptState.STOPPING) return
+        if (!attempt.isLive || attempt.state == AttemptState.STOPPING) return
         if (!attempt.startSent) return release(attempt, nowMs, if (quietly) NEVER_SENT else "never sent; $reason")
         if (!quietly) log("stopping ${attempt.job.spec.id}/${attempt.index} attempt ${attempt.number} on ${attempt.machine.id}: $reason")
         attempt.moveTo(AttemptState.STOPPING, nowMs)
--- a/src/main/kotlin/mintfield/core/Commit.kt
+++ b/src/main/kotlin/mintfield/core/Commit.kt
@@ -1,6 +1,6 @@
 package mintfield.core
 
-/** A transaction on the state service: all [writes] or none, with the precondition that the leader key is at revision [term]. */
+/** A transaction on the store: all [writes] or none, with the precondition that the leader key is at revision [term]. */
 class Commit(
     val term: Long,
     val writes: List<Write>,
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -122,14 +122,14 @@
         nowMs: Long,
     ) {
         when (result) {
-            is CommitResult.Done -> commit.writes.forEach { written(it, result.revision, nowMs) }
+            is CommitResult.Done -> commit.writes.forEach { onWritten(it, result.revision, nowMs) }
             is CommitResult.Conflict -> {
-                planJournal.putBack(commit.writes, nowMs)
+                planJournal.markUnwritten(commit.writes, nowMs)
                 result.jobs.forEach { id -> cluster.jobs[id]?.let { conflicted(it, commit.guardRevisions[id], nowMs) } }
             }
-            CommitResult.Refused -> planJournal.putBack(commit.writes, nowMs)
+            CommitResult.Refused -> planJournal.markUnwritten(commit.writes, nowMs)
             CommitResult.Unknown -> {
-                planJournal.putBack(commit.writes, nowMs)
+                planJournal.markUnwritten(commit.writes, nowMs)
                 // The round records may have been written nonetheless, and then have to be deleted eventually.
                 commit.writes.forEach { if (it is Write.RecordRound) planJournal.deleteLater(it.key) }
                 raiseNow = true
@@ -149,14 +149,14 @@
         job.finish()
     }
 
-    private fun written(
+    private fun onWritten(
         write: Write,
         revision: Long,
         nowMs: Long,
     ) {
         when (write) {
-            is Write.RecordRound -> planJournal.written(write, revision, nowMs)
-            is Write.DeleteRound -> planJournal.deleted(write.key)
+            is Write.RecordRound -> planJournal.onRoundWritten(write, revision, nowMs)
+            is Write.DeleteRound -> planJournal.onRoundDeleted(write.key)
             is Write.FinishJob -> finished(write.job, nowMs)
             is Write.CancelSuccessor -> {
                 log("${write.job.id}: cancelled because a predecessor was cancelled")
@@ -171,8 +171,8 @@
                 fleet.intents[write.intent.idempotencyKey] = write.intent
             }
             is Write.SaveLearnedState -> {}
-            is Write.FenceZone -> zoneFencing.written(write.record)
-            is Write.LiftZoneFence -> zoneFencing.deleted(write.key)
+            is Write.FenceZone -> zoneFencing.onFenceWritten(write.record)
+            is Write.LiftZoneFence -> zoneFencing.onFenceDeleted(write.key)
             is Write.DeleteIntent -> fleet.completedIntents.remove(write.idempotencyKey)
             Write.RaiseTerm -> termRaised(revision, nowMs)
         }
@@ -200,7 +200,7 @@
         raiseNow = true
     }
 
-    /** Adopts [term] after the leader key was rewritten. Workers that have seen it reject starts under lower terms. */
+    /** Adopts [term] after the leader key was rewritten. Workers that have seen it refuse starts under lower terms. */
     fun termRaised(
         term: Long,
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/ConnectionLimits.kt
+++ b/src/main/kotlin/mintfield/core/ConnectionLimits.kt
@@ -18,7 +18,7 @@
     /** Maximum number of idle connections to workers kept in the pool. */
     val pooledWorkerConnections: Int = (settings.maxSockets * WorkerConstants.WORKER_POOL_SOCKET_FRACTION).toInt()
 
-    /** Maximum number of concurrent direct commands to workers. */
+    /** Maximum number of concurrent direct calls to workers. */
     val directCalls: Int = maxOf(WorkerConstants.MIN_DIRECT_COMMANDS, (settings.maxSockets * WorkerConstants.DIRECT_COMMAND_SOCKET_FRACTION).toInt())
 
     /** Maximum number of heartbeats and user requests relayed to one peer at once. */
--- a/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
+++ b/src/main/kotlin/mintfield/core/LearnedStateBlocks.kt
@@ -5,7 +5,7 @@
 import mintfield.core.jobs.JobHealth
 
 /**
- * Schedules the writes of learned estimates and divides them into blocks, one value of the state service each. Blocks are written one
+ * Schedules the writes of learned estimates and divides them into blocks, one value of the store each. Blocks are written one
  * at a time, so that a large fleet uses no more of the write limit at once than a small one.
  */
 class LearnedStateBlocks(
--- a/src/main/kotlin/mintfield/core/Scheduler.kt
+++ b/src/main/kotlin/mintfield/core/Scheduler.kt
@@ -7,7 +7,7 @@
 import mintfield.core.fleet.ListedMachine
 import mintfield.core.fleet.ZoneFencing
 import mintfield.core.jobs.CommandPlanner
-import mintfield.core.jobs.DirectCommands
+import mintfield.core.jobs.DirectCallPlanner
 import mintfield.core.jobs.HeartbeatReconciler
 import mintfield.core.jobs.PlanJournal
 import mintfield.core.model.AcceptedJob
@@ -22,9 +22,9 @@
  * The scheduler of one leader, from its election to the end of its lease. It creates the components of the core and passes each event
  * to the component responsible for it.
  *
- * It performs no I/O. Callers pass in events and the time, and ask for the next transaction, direct commands and cloud requests. The
+ * It performs no I/O. Callers pass in events and the time, and ask for the next transaction, direct calls and cloud requests. The
  * returned actions may be carried out only while the leader holds its lease. Not thread-safe: all functions are called from one
- * thread. `nowMs` is the time of a steady clock in milliseconds, `wallMs` the wall-clock time.
+ * thread. `nowMs` is the time of a monotonic clock in milliseconds, `wallMs` the wall-clock time.
  */
 class Scheduler(
     settings: Settings,
@@ -48,12 +48,12 @@
     val replay = LeaderReplay(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, cancellations)
     private val jobs = JobLifecycle(cluster, dependencies, planJournal, cancellations, replay, log)
     internal val heartbeats = HeartbeatService(cluster, fleet, zoneFencing, reconciler, commandPlanner, cancellations, replay)
-    private val directCommands = DirectCommands(cluster, reconciler, commandPlanner, log)
+    private val directCallPlanner = DirectCallPlanner(cluster, reconciler, commandPlanner, log)
     private val commits =
         CommitPlanner(cluster, fleet, zoneFencing, planJournal, reconciler.failureAttribution, InheritedUrgency(cluster, dependencies), jobs::removed, log)
 
     /** Whether the replay has ended. Before that nothing is planned, and responses to heartbeats start no tasks. */
-    val loaded: Boolean get() = replay.isComplete
+    val isReplayComplete: Boolean get() = replay.isComplete
 
     // ---- jobs ----
 
@@ -104,21 +104,21 @@
     fun directCalls(
         nowMs: Long,
         maxCalls: Int,
-    ): List<DirectCall> = if (loaded) directCommands.calls(nowMs, maxCalls) else emptyList()
+    ): List<DirectCall> = if (isReplayComplete) directCallPlanner.calls(nowMs, maxCalls) else emptyList()
 
     /** Applies the response to [call]: the worker's status in [heartbeat], or null if the response could not be read. */
     fun directCallResponded(
         call: DirectCall,
         heartbeat: Heartbeat?,
         nowMs: Long,
-    ) = directCommands.onResponse(call, heartbeat, nowMs)
+    ) = directCallPlanner.onResponse(call, heartbeat, nowMs)
 
     /** Records that [call] got no response. If it was [sent], the worker may still execute it later. */
     fun directCallUnanswered(
         call: DirectCall,
         sent: Boolean,
         nowMs: Long,
-    ) = directCommands.onNoResponse(call, sent, nowMs)
+    ) = directCallPlanner.onNoResponse(call, sent, nowMs)
 
     // ---- the store ----
 
@@ -131,7 +131,7 @@
         wallMs: Long,
         ops: Int,
         yielding: Boolean = false,
-    ): Commit? = if (loaded && ops > 0) commits.next(nowMs, wallMs, ops, yielding) else null
+    ): Commit? = if (isReplayComplete && ops > 0) commits.next(nowMs, wallMs, ops, yielding) else null
 
     /** Applies the outcome of [commit] to the leader's state. */
     fun committed(
@@ -144,12 +144,12 @@
     fun deferred(
         writes: List<Write>,
         nowMs: Long,
-    ) = planJournal.putBack(writes, nowMs)
+    ) = planJournal.markUnwritten(writes, nowMs)
 
     /** Requests a higher term, so that the precondition of an unanswered write fails if the write is still carried out later. */
     fun fenceLateWrites() = commits.fenceLateWrites()
 
-    /** Adopts [term] after the leader key was rewritten. Workers that have seen it reject starts under lower terms. */
+    /** Adopts [term] after the leader key was rewritten. Workers that have seen it refuse starts under lower terms. */
     fun termRaised(
         term: Long,
         nowMs: Long,
@@ -163,7 +163,7 @@
         nowMs: Long,
     ) = fleet.typesRead(types, nowMs)
 
-    /** Processes one [page] of the cloud's machine list. [hasNext] is false for the last page. */
+    /** Processes one [page] of the cloud's list. [hasNext] is false for the last page. */
     fun listed(
         page: List<ListedMachine>,
         hasNext: Boolean,
@@ -171,13 +171,13 @@
     ) = fleet.listed(page, hasNext, nowMs)
 
     /** Returns the next request to the cloud, or null if there is none. */
-    fun cloudCall(nowMs: Long): CloudCall? = if (loaded) fleet.nextCall(nowMs) else null
+    fun cloudCall(nowMs: Long): CloudCall? = if (isReplayComplete) fleet.nextCall(nowMs) else null
 
     // ---- time ----
 
     /** Processes expired deadlines and sizes the fleet. Must be called about every [PlacementConstants.TICK_INTERVAL_MS]. */
     fun tick(nowMs: Long) {
-        if (!loaded) return
+        if (!isReplayComplete) return
         fleet.tick(nowMs)
         fleet.resize(nowMs)
     }
--- a/src/main/kotlin/mintfield/core/Timings.kt
+++ b/src/main/kotlin/mintfield/core/Timings.kt
@@ -35,7 +35,7 @@
      */
     val replayedReleaseMs = (leaseMs + FleetConstants.FIND_LEADER_MS).toLong()
 
-    /** Time after which a machine without a heartbeat is released if it is also missing from the cloud's machine list. */
+    /** Time after which a machine without a heartbeat is released if it is also missing from the cloud's list. */
     val unlistedReleaseMs = maxOf(FleetConstants.UNLISTED_RELEASE_MS, (longestHeartbeatGapMs + FleetConstants.UNLISTED_RELEASE_SLACK_MS).toLong())
 
     /** Time without a heartbeat after which a machine is released. Most hanging machines recover within their lease or soon after it. */
--- a/src/main/kotlin/mintfield/core/Write.kt
+++ b/src/main/kotlin/mintfield/core/Write.kt
@@ -4,7 +4,7 @@
 import mintfield.core.jobs.Job
 import mintfield.core.jobs.RoundRecord
 
-/** One change by the leader in the state service, part of a [Commit]. */
+/** One change by the leader in the store, part of a [Commit]. */
 sealed interface Write {
     /** Jobs whose records must be unchanged, as a precondition of the write. */
     val guardedJobs: Collection<Job> get() = emptyList()
--- a/src/main/kotlin/mintfield/core/constants/FleetConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/FleetConstants.kt
@@ -53,7 +53,7 @@
     /** Time added to the boot timeout. */
     const val BOOT_TIMEOUT_SLACK_MS = 30_000L
 
-    /** Multiple of its usual lag by which the cloud's machine list may lag, as defined by the protocol. */
+    /** Multiple of its usual lag by which the cloud's list may lag, as defined by the protocol. */
     const val LIST_LAG_FACTOR = 2.0
 
     /** Interval between reads of the machine list. */
--- a/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
@@ -1,6 +1,6 @@
 package mintfield.core.constants
 
-/** Parameters of heartbeats, direct commands and the reachability of workers. */
+/** Parameters of heartbeats, direct calls and the reachability of workers. */
 object WorkerConstants {
     /** Longest regular time between two heartbeats as a multiple of the heartbeat interval. The protocol varies the interval by a quarter. */
     const val MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25
@@ -11,22 +11,22 @@
     /** Time added to the longest regular heartbeat interval in the heartbeat timeout. A lost packet is resent after a second or two. */
     const val HEARTBEAT_TIMEOUT_SLACK_MS = 2_500L
 
-    /** Timeout for the response to a direct command. */
+    /** Timeout for the response to a direct call. */
     const val DIRECT_COMMAND_TIMEOUT_MS = 1_500L
 
-    /** Time without direct commands to a worker that left one unanswered. */
+    /** Time without direct calls to a worker that left one unanswered. */
     const val DIRECT_COMMAND_BACKOFF_MS = 5_000L
 
-    /** Number of consecutive unanswered direct commands from which the network is assumed to be the cause. */
+    /** Number of consecutive unanswered direct calls from which the network is assumed to be the cause. */
     const val DIRECT_PATH_LOST_AFTER = 6
 
-    /** Interval between direct commands while the network is assumed to be the cause of unanswered ones. */
+    /** Interval between direct calls while the network is assumed to be the cause of unanswered ones. */
     const val DIRECT_PATH_PROBE_MS = 2_000L
 
-    /** Minimum limit on the direct commands in flight. */
+    /** Minimum limit on the direct calls in flight. */
     const val MIN_DIRECT_COMMANDS = 32
 
-    /** Fraction of the sockets that direct commands in flight may use. */
+    /** Fraction of the sockets that direct calls in flight may use. */
     const val DIRECT_COMMAND_SOCKET_FRACTION = 0.02
 
     /** Fraction of the sockets that pooled connections to workers may use. */
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyGraph.kt
@@ -38,7 +38,7 @@
     /** Whether a direct or transitive predecessor of [id] is known to be cancelled. */
     fun isCancelledByDependency(id: String): Boolean = nodes[id]?.cancelledByDependency ?: false
 
-    /** Time of day in milliseconds at which the last predecessor of [id] was done; 0 if it is unknown or the job has no predecessors. */
+    /** Wall-clock time in milliseconds at which the last predecessor of [id] was done; 0 if it is unknown or the job has no predecessors. */
     fun readySinceMs(id: String): Long = nodes[id]?.predecessors?.maxOfOrNull { it.endedAtMs } ?: 0L
 
     /** Ids of the direct predecessors of [id] that are not done. */
@@ -66,7 +66,7 @@
     }
 
     /** Handles a new or changed record of the unfinished [job]. */
-    fun written(job: AcceptedJob) {
+    fun onRecordWritten(job: AcceptedJob) {
         val id = job.spec.id
         if (job.spec.predecessors.isEmpty() && id !in nodes) return
         version++
@@ -113,7 +113,7 @@
     private fun stateOf(final: FinalState): PredecessorState = if (final.phase == JobPhase.DONE) PredecessorState.DONE else PredecessorState.CANCELLED
 
     /** Handles the deletion of the record of job [id]: the job has ended, whether or not its final state is known here. */
-    fun removed(id: String) {
+    fun onRecordRemoved(id: String) {
         val node = nodes[id] ?: return
         version++
         node.job = null
@@ -128,7 +128,7 @@
     }
 
     /** Handles the end of job [id] in the state [final]. */
-    fun ended(
+    fun onJobEnded(
         id: String,
         final: FinalState,
     ) {
--- a/src/main/kotlin/mintfield/core/dependencies/DependencyNode.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/DependencyNode.kt
@@ -18,7 +18,7 @@
     var cancelledByDependency = false
         internal set
 
-    /** Time of day in milliseconds at which the job ended; 0 if it is unknown. */
+    /** Wall-clock time in milliseconds at which the job ended; 0 if it is unknown. */
     internal var endedAtMs = 0L
 
     /** The jobs on which the job depends directly. */
--- a/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
+++ b/src/main/kotlin/mintfield/core/dependencies/InheritedUrgency.kt
@@ -26,13 +26,13 @@
     /** The priority and due time that a job passes on to its predecessors. */
     private class Urgency(
         val priority: Priority,
-        /** Latest time of day in milliseconds at which the predecessors must be done; null without a deadline. */
+        /** Latest wall-clock time in milliseconds at which the predecessors must be done; null without a deadline. */
         val dueBeforeMs: Double?,
     )
 
     /**
      * Updates the priority, deadline and criticality of all jobs with successors if the graph or the learned run times may have changed.
-     * [nowMs] is the monotonic time and [wallMs] the time of day, both in milliseconds.
+     * [nowMs] is the monotonic time and [wallMs] the wall-clock time, both in milliseconds.
      */
     fun refresh(
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/CloudListing.kt
@@ -18,7 +18,7 @@
     /** Whether the current read has further pages. */
     private var isReadInProgress = false
 
-    /** Steady milliseconds at which the first page of the current read was received. */
+    /** Monotonic time in milliseconds at which the first page of the current read was received. */
     private var startedAtMs = Machine.NEVER
     private var completedAtMs = Machine.NEVER
 
@@ -26,7 +26,7 @@
     var hasCompleted = false
         private set
 
-    /** Machines that the cloud lists and that have no owner, with the steady milliseconds at which each was first seen without one. */
+    /** Machines that the cloud lists and that have no owner, with the monotonic time in milliseconds at which each was first seen without one. */
     val unowned = LinkedHashMap<String, Long>()
 
     /** The cloud call that reads the next page of the list. */
--- a/src/main/kotlin/mintfield/core/fleet/DirectRoute.kt
+++ b/src/main/kotlin/mintfield/core/fleet/DirectRoute.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-/** State of the direct calls from the leader to one worker, which need not wait for its next heartbeat. Times are steady milliseconds. */
+/** State of the direct calls from the leader to one worker, which need not wait for its next heartbeat. Times are in milliseconds of monotonic time. */
 class DirectRoute {
     /** Whether a call is in flight; there is at most one per machine. */
     var inFlight = false
--- a/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FailureRecord.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-/** Failures of tasks on one machine since its last success, and the resulting backoff and quarantine. Times are steady milliseconds. */
+/** Failures of tasks on one machine since its last success, and the resulting backoff and quarantine. Times are in milliseconds of monotonic time. */
 class FailureRecord {
     private val suspectJobIds = HashSet<String>()
 
--- a/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetManager.kt
@@ -8,7 +8,7 @@
 
 /**
  * The leader's view of the cloud: decides what to provision and release, chooses the next cloud call, and processes the responses.
- * Used on the leader's event loop only; times are steady milliseconds.
+ * Used on the leader's event loop only; times are in milliseconds of monotonic time.
  */
 class FleetManager(
     private val cluster: Cluster,
@@ -153,7 +153,7 @@
 
     /** Scales the fleet to the demand. Does nothing until the list has been read and all earlier requests are completed. */
     fun resize(nowMs: Long) {
-        if (listing.hasCompleted && unrecordedIntents.isEmpty() && intents.isEmpty() && cluster.ownership.claiming == 0) sizing.resize(nowMs)
+        if (listing.hasCompleted && unrecordedIntents.isEmpty() && intents.isEmpty() && cluster.ownership.pendingClaimCount == 0) sizing.resize(nowMs)
     }
 
     /** Number of machines whose boot is overdue. */
--- a/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/FleetSizing.kt
@@ -22,7 +22,7 @@
 
     /** CPUs of machines that are expected to last, by pricing terms. */
     private class Capacity(
-        val ordinary: Double,
+        val onDemand: Double,
         val spot: Double,
     )
 
@@ -62,11 +62,11 @@
         val mayScaleOut = cluster.ownership.scaleOutHeadroom > 0
         if (mayScaleOut && requestForUnplaceableJob(nowMs)) return
         val headroom = cluster.settings.operator.headroom
-        val missingOrdinary = demand.services * headroom - capacity.ordinary
-        val missing = demand.all * headroom - capacity.ordinary - capacity.spot
-        if (missing <= 0 && missingOrdinary <= 0) return idleMachines.releaseOne(nowMs, spareCpus = -missing)
+        val missingOnDemand = demand.services * headroom - capacity.onDemand
+        val missing = demand.all * headroom - capacity.onDemand - capacity.spot
+        if (missing <= 0 && missingOnDemand <= 0) return idleMachines.releaseOne(nowMs, spareCpus = -missing)
         idleMachines.clear()
-        if (mayScaleOut) requestCapacity(missing, missingOrdinary, nowMs)
+        if (mayScaleOut) requestCapacity(missing, missingOnDemand, nowMs)
     }
 
     private fun demand(): Demand {
@@ -85,7 +85,7 @@
      * machines, the fleet would grow without bound.
      */
     private fun capacity(nowMs: Long): Capacity {
-        var ordinary = 0.0
+        var onDemand = 0.0
         var spot = 0.0
         var overdue = 0.0
         for (machine in cluster.machines.values) {
@@ -93,11 +93,11 @@
             when {
                 isOverdue(machine, nowMs) -> overdue += machine.type.cpus
                 machine.spot -> spot += machine.type.cpus
-                else -> ordinary += machine.type.cpus
+                else -> onDemand += machine.type.cpus
             }
         }
-        ordinary += maxOf(0.0, overdue - (ordinary + spot) * FleetConstants.OVERDUE_REPLACEMENT_FRACTION)
-        return Capacity(ordinary, spot)
+        onDemand += maxOf(0.0, overdue - (onDemand + spot) * FleetConstants.OVERDUE_REPLACEMENT_FRACTION)
+        return Capacity(onDemand, spot)
     }
 
     private fun isOverdue(
@@ -113,11 +113,11 @@
 
     private fun requestCapacity(
         missingCpus: Double,
-        missingOrdinaryCpus: Double,
+        missingOnDemandCpus: Double,
         nowMs: Long,
     ) {
-        val offer = offers.cheapest(nowMs) { !it.spot || missingOrdinaryCpus <= 0 } ?: return
-        request(offer, maxOf(missingCpus, missingOrdinaryCpus), "short of ${missingCpus.toInt()} CPUs")
+        val offer = offers.cheapest(nowMs) { !it.spot || missingOnDemandCpus <= 0 } ?: return
+        request(offer, maxOf(missingCpus, missingOnDemandCpus), "short of ${missingCpus.toInt()} CPUs")
     }
 
     /** Requests machines for a job that no current machine could host even if empty; false if there is no such job or no offer for it. */
--- a/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ForeignTask.kt
@@ -16,7 +16,7 @@
     var stopRequested = false
         private set
 
-    /** Steady milliseconds at which the first stop command was sent to the worker; 0 if none was. */
+    /** Monotonic time in milliseconds at which the first stop command was sent to the worker; 0 if none was. */
     var stopSentAtMs = 0L
         private set
 
--- a/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
@@ -5,7 +5,7 @@
 
 /**
  * State derived from the heartbeats of one machine. Heartbeats are ordered by the worker's incarnation and then by their sequence number
- * within it, so that a late copy is not taken for a newer one. Times are steady milliseconds.
+ * within it, so that a late copy is not taken for a newer one. Times are in milliseconds of monotonic time.
  */
 class HeartbeatRecord {
     /** The worker's incarnation; 0 before its first heartbeat. */
@@ -24,11 +24,11 @@
     var latest: Heartbeat? = null
         private set
 
-    /** Network address at which the worker accepts direct commands; null if none is known. */
+    /** Network address at which the worker accepts direct calls; null if none is known. */
     var address: String? = null
         private set
 
-    /** Time of the newest heartbeat, whether unprompted or in the response to a direct command. */
+    /** Time of the newest heartbeat, whether unprompted or in the response to a direct call. */
     var lastContactAtMs = Machine.NEVER
         private set
 
@@ -63,7 +63,7 @@
         terminationAtMs = heartbeat.terminationNoticeS?.let { nowMs + (it * TimeUnits.MS_PER_SECOND).toLong() }
     }
 
-    /** Records the time of a heartbeat that did not come in the response to a direct command. */
+    /** Records the time of a heartbeat that did not come in the response to a direct call. */
     fun recordUnprompted(nowMs: Long) {
         lastUnpromptedAtMs = nowMs
     }
--- a/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/IdleMachines.kt
@@ -8,7 +8,7 @@
     private val cluster: Cluster,
     private val releases: MachineReleases,
 ) {
-    /** Start of the idle time in steady milliseconds, by machine name. */
+    /** Start of the idle time by machine name, in milliseconds of monotonic time. */
     private val idleSinceMs = HashMap<String, Long>()
 
     /** Forgets the idle time of the machine [id], which this leader no longer owns. */
--- a/src/main/kotlin/mintfield/core/fleet/Machine.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Machine.kt
@@ -7,7 +7,7 @@
 
 /**
  * The leader's state of one machine, with the attempts that occupy it. Each component owns one part of the state and is changed through
- * its own functions. Used on the leader's event loop only; times are steady milliseconds.
+ * its own functions. Used on the leader's event loop only; times are in milliseconds of monotonic time.
  */
 class Machine(
     val id: String,
--- a/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineOrigin.kt
@@ -1,6 +1,6 @@
 package mintfield.core.fleet
 
-/** How a machine became known: from the cloud's list, a former owner, or a recorded plan. Times are steady milliseconds. */
+/** How a machine became known: from the cloud's list, a former owner, or a recorded plan. Times are in milliseconds of monotonic time. */
 class MachineOrigin {
     /** Whether only the name is known, from a plan or the assignment table. Type, zone and spot are guesses until a heartbeat or the list has them. */
     var provisional = false
--- a/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
+++ b/src/main/kotlin/mintfield/core/fleet/MachineRegistry.kt
@@ -10,7 +10,7 @@
     private val cluster: Cluster,
     private val released: ReleasedMachines,
 ) {
-    /** Adoption times in steady milliseconds of machines without a description yet, by machine name. */
+    /** Adoption times of machines without a description yet, by machine name, in milliseconds of monotonic time. */
     private val adoptedAtMs = HashMap<String, Long>()
 
     /**
--- a/src/main/kotlin/mintfield/core/fleet/Reachability.kt
+++ b/src/main/kotlin/mintfield/core/fleet/Reachability.kt
@@ -14,7 +14,7 @@
     var state = ReachabilityState.REACHABLE
         private set
 
-    /** Steady milliseconds at which the machine last became unreachable; 0 if it never did. */
+    /** Monotonic time in milliseconds at which the machine last became unreachable; 0 if it never did. */
     var sinceMs = 0L
         private set
 
--- a/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ReleasedMachines.kt
@@ -8,7 +8,7 @@
  * of machines are reclaimed at once.
  */
 class ReleasedMachines {
-    /** Release times in steady milliseconds by machine name, in order of release. */
+    /** Release times by machine name, in milliseconds of monotonic time, in order of release. */
     private val releasedAtMs = LinkedHashMap<String, Long>()
 
     /** Number of names that are kept. */
--- a/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ScaleOutOffers.kt
@@ -5,7 +5,7 @@
 import mintfield.core.constants.FleetConstants
 import mintfield.core.model.MachineType
 
-/** An option for provisioning: a machine type in a zone, on spot or ordinary terms. */
+/** An option for provisioning: a machine type in a zone, on spot or on-demand terms. */
 internal data class ScaleOutOffer(
     val type: MachineType,
     val zone: String,
--- a/src/main/kotlin/mintfield/core/fleet/WorkerLease.kt
+++ b/src/main/kotlin/mintfield/core/fleet/WorkerLease.kt
@@ -2,7 +2,7 @@
 
 /**
  * The leader's knowledge of the lease under which a worker keeps its tasks, and the terms that decide which commands the worker accepts
- * and which of its heartbeats count as proof. Times are steady milliseconds.
+ * and which of its heartbeats count as proof. Times are in milliseconds of monotonic time.
  */
 class WorkerLease {
     /** The latest time at which the current lease period can have begun; [Machine.NEVER] if this leader has not renewed the lease. */
--- a/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
+++ b/src/main/kotlin/mintfield/core/fleet/ZoneFencing.kt
@@ -138,12 +138,12 @@
     }
 
     /** Handles the completed write of [record]. */
-    fun written(record: ZoneFence) {
+    fun onFenceWritten(record: ZoneFence) {
         toWrite.remove(record.key)
     }
 
     /** Handles the completed deletion of the record under [key]: its machines may get responses again. */
-    fun deleted(key: String) {
+    fun onFenceDeleted(key: String) {
         toDelete.remove(key)
         toWrite.remove(key)
         inherited.remove(key)
--- a/src/main/kotlin/mintfield/core/jobs/Attempt.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Attempt.kt
@@ -16,7 +16,7 @@
     var state = AttemptState.PLANNING
         private set
 
-    /** Time of the last state change, in steady milliseconds. */
+    /** Time of the last state change, in milliseconds of monotonic time. */
     var changedAtMs = 0L
         private set
 
@@ -24,7 +24,7 @@
     var startSent = false
 
     /** Whether the attempt still occupies its machine, that is, has not been released. */
-    val live: Boolean get() = state != AttemptState.RELEASED
+    val isLive: Boolean get() = state != AttemptState.RELEASED
 
     /** Changes the state; all state changes go through this function. Throws [IllegalStateException] if the transition is not allowed. */
     fun moveTo(
--- a/src/main/kotlin/mintfield/core/jobs/DirectCommands.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCallPlanner.kt
@@ -15,7 +15,7 @@
  *
  * Not thread-safe, like [Cluster].
  */
-class DirectCommands(
+class DirectCallPlanner(
     private val cluster: Cluster,
     private val reconciler: HeartbeatReconciler,
     private val commandPlanner: CommandPlanner,
--- a/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mintfield/core/jobs/HeartbeatReconciler.kt
@@ -29,10 +29,10 @@
     val failureAttribution = FailureAttribution(cluster, log)
 
     /**
-     * Processes [heartbeat], received at [nowMs] (steady milliseconds). Returns false and changes nothing if it is not newer than the
+     * Processes [heartbeat], received at [nowMs] (milliseconds of monotonic time). Returns false and changes nothing if it is not newer than the
      * last one of [machine].
      *
-     * [viaHeartbeat]: whether the worker sent it unprompted, as opposed to in a response to a direct command. Only an unprompted heartbeat
+     * [viaHeartbeat]: whether the worker sent it unprompted, as opposed to in a response to a direct call. Only an unprompted heartbeat
      * proves that the starts in the response to the previous one were either carried out or dropped.
      */
     fun reconcile(
@@ -208,7 +208,7 @@
             ExitReason.DONE -> recordSuccess(attempt, nowMs)
             ExitReason.STOPPED -> cluster.release(attempt, nowMs, "stopped")
             ExitReason.GANG_INCOMPLETE -> cluster.release(attempt, nowMs, "gang incomplete")
-            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> recordRejection(attempt, cause, nowMs)
+            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_RUNNING -> recordRefusal(attempt, cause, nowMs)
             ExitReason.ERROR, ExitReason.UNKNOWN_TASK, ExitReason.UNKNOWN -> recordFailure(attempt, cause, nowMs)
         }
     }
@@ -225,13 +225,13 @@
         cluster.release(attempt, nowMs, Cluster.DONE)
     }
 
-    private fun recordRejection(
+    private fun recordRefusal(
         attempt: Attempt,
         cause: ExitReason,
         nowMs: Long,
     ) {
         val machine = attempt.machine
-        cluster.release(attempt, nowMs, "rejected by the worker: $cause")
+        cluster.release(attempt, nowMs, "refused by the worker: $cause")
         machine.failureRecord.backOffUntil(nowMs + PlacementConstants.FAILURE_BACKOFF_MS)
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/Job.kt
+++ b/src/main/kotlin/mintfield/core/jobs/Job.kt
@@ -12,7 +12,7 @@
     val spec: JobSpec = accepted.spec
     val id: String get() = spec.id
 
-    /** Time of day at which the job was accepted, in milliseconds. */
+    /** Wall-clock time at which the job was accepted, in milliseconds. */
     val acceptedAtMs: Long = accepted.acceptedAtMs
 
     /** Names of the machine types on which its tasks may run. */
@@ -42,7 +42,7 @@
 
     /**
      * Whether its record states that it is cancelled; only then does it have a final state, and its record may be deleted. A peer may
-     * report a cancellation earlier, also that of a job cancelled with a predecessor before the store records it.
+     * report a cancellation earlier, also that of a job that is cancelled because a predecessor was.
      */
     var cancellationRecorded = accepted.cancelled
         private set
@@ -77,7 +77,7 @@
     var ready = spec.predecessors.isEmpty()
         private set
 
-    /** Time of day in milliseconds at which it could start: its acceptance or the end of its last predecessor, whichever is later. */
+    /** Wall-clock time in milliseconds at which it could start: its acceptance or the end of its last predecessor, whichever is later. */
     var readySinceMs = acceptedAtMs
         private set
 
@@ -87,7 +87,7 @@
     /** Whether it must start now for the jobs that depend on it to meet their deadlines. */
     var deadlineCritical = false
 
-    /** Time of day in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
+    /** Wall-clock time in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
     var inheritedDueMs: Double? = null
 
     /**
@@ -97,7 +97,7 @@
      */
     val preemptionPriority: Priority get() = if (deadlineCritical) priority else spec.priority
 
-    /** Sets [ready]: all predecessors have been done since [sinceMs], a time of day in milliseconds, or 0 if unknown. */
+    /** Sets [ready]: all predecessors have been done since [sinceMs], a wall-clock time in milliseconds, or 0 if unknown. */
     fun becomeReady(sinceMs: Long) {
         if (ready) return
         ready = true
@@ -106,13 +106,13 @@
 
     // ---- times ----
 
-    /** When this leader first read the job or found it ready, in steady milliseconds. */
+    /** When this leader first read the job or found it ready, in milliseconds of monotonic time. */
     var firstSeenAtMs = 0L
 
-    /** When one of its tasks was last planned, in steady milliseconds. */
+    /** When one of its tasks was last planned, in milliseconds of monotonic time. */
     var lastPlanAtMs = 0L
 
-    /** When a heartbeat last showed that one of its tasks had started to run, in steady milliseconds. */
+    /** When a heartbeat last showed that one of its tasks had started to run, in milliseconds of monotonic time. */
     var lastRunAtMs = 0L
 
     /** Completed tasks whose run time was measured. */
@@ -139,7 +139,7 @@
     /** Ids of the machines on which a task of the job has ever failed. */
     val failedOn: Set<String> get() = failureRecord.failedOn
 
-    /** Time before which none of its tasks is planned, in steady milliseconds. */
+    /** Time before which none of its tasks is planned, in milliseconds of monotonic time. */
     var notBeforeMs = 0L
         private set
 
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -57,12 +57,12 @@
     ) = unreadable[id] == revision
 
     /** Caches the final state of job [id] and updates the jobs that depend on it. */
-    fun ended(
+    fun onJobEnded(
         id: String,
         state: FinalState,
     ) {
         finals[id] = state
-        dependencies.ended(id, state)
+        dependencies.onJobEnded(id, state)
     }
 
     /**
@@ -124,8 +124,8 @@
     private fun apply(change: JobChange) {
         when (change) {
             is JobChange.Written -> write(change.id, change.record)
-            is JobChange.Removed -> removed(change)
-            is JobChange.Ended -> ended(change.id, change.state)
+            is JobChange.Removed -> onRemoved(change)
+            is JobChange.Ended -> onJobEnded(change.id, change.state)
         }
     }
 
@@ -138,14 +138,14 @@
             is JobRecord.Readable -> {
                 unreadable.remove(id)
                 liveJobs[id] = record.job
-                dependencies.written(record.job)
+                dependencies.onRecordWritten(record.job)
                 listener?.changed(record.job)
             }
             is JobRecord.Unreadable -> unreadable[id] = record.revision
         }
     }
 
-    private fun removed(change: JobChange.Removed) {
+    private fun onRemoved(change: JobChange.Removed) {
         if (openSnapshots > 0) removedAt[change.id] = change.revision
         if (change.revision > revisionOf(change.id)) remove(change.id)
     }
@@ -153,7 +153,7 @@
     private fun remove(id: String) {
         liveJobs.remove(id)
         unreadable.remove(id)
-        dependencies.removed(id)
+        dependencies.onRecordRemoved(id)
         listener?.removed(id)
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/JournaledRound.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JournaledRound.kt
@@ -5,7 +5,7 @@
     val key: String,
     /** Store revision at which the record was written. */
     val revision: Long,
-    /** When the record was written or replayed, in steady milliseconds. */
+    /** When the record was written or replayed, in milliseconds of monotonic time. */
     val writtenAtMs: Long,
 ) {
     /** Chunk [number] of the job with id [job]. */
--- a/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
+++ b/src/main/kotlin/mintfield/core/jobs/PlanJournal.kt
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Adds a machine known only from a plan: its type is provisional until a heartbeat or the cloud's listing states it. */
+    /** Adds a machine known only from a plan: its type is provisional until a heartbeat or the cloud's list states it. */
     private fun unknownMachine(
         id: String,
         job: Job,
@@ -161,7 +161,7 @@
     }
 
     /** Marks the tasks covered by the round records in [writes] as unwritten again: the writes failed, or their outcome is unknown. */
-    fun putBack(
+    fun markUnwritten(
         writes: List<Write>,
         nowMs: Long,
     ) {
@@ -169,14 +169,14 @@
             if (write !is Write.RecordRound) continue
             for (part in write.record.parts) {
                 val job = cluster.jobs[part.job] ?: continue
-                RoundPacker.putBack(job, part)
+                RoundPacker.markUnwritten(job, part)
                 job.unwritten.waitSince(nowMs)
             }
         }
     }
 
     /** Records that [write] was committed at [revision]: its plans may be started, and its results are durable. */
-    fun written(
+    fun onRoundWritten(
         write: Write.RecordRound,
         revision: Long,
         nowMs: Long,
@@ -185,14 +185,14 @@
         for (part in write.record.parts) {
             val job = cluster.jobs[part.job] ?: continue
             part.done.forEach { job.progress.recordDone(it) }
-            part.plans.forEach { planWritten(job, it, nowMs) }
+            part.plans.forEach { onPlanWritten(job, it, nowMs) }
             cover(round, job, part.chunk)
             if (part.full) removeCoverageBefore(job, part.chunk, revision)
         }
         track(round)
     }
 
-    private fun planWritten(
+    private fun onPlanWritten(
         job: Job,
         group: PlannedGroup,
         nowMs: Long,
@@ -238,7 +238,7 @@
     }
 
     /** Records that the record [key] was deleted. */
-    fun deleted(key: String) {
+    fun onRoundDeleted(key: String) {
         obsolete.remove(key)
     }
 
--- a/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
+++ b/src/main/kotlin/mintfield/core/jobs/RoundPacker.kt
@@ -35,7 +35,7 @@
     }
 
     /** Marks the tasks of [part] as unwritten again, after the write of its record has failed. */
-    fun putBack(
+    fun markUnwritten(
         job: Job,
         part: RoundPart,
     ) = part.indices.forEach(job.unwritten::add)
--- a/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
+++ b/src/main/kotlin/mintfield/core/jobs/UnwrittenTasks.kt
@@ -6,7 +6,7 @@
 class UnwrittenTasks {
     private val indices = BitSet()
 
-    /** Time since which a change that need not be written at once has been unwritten, in steady milliseconds; 0 without any. */
+    /** Time since which a change that need not be written at once has been unwritten, in milliseconds of monotonic time; 0 without any. */
     var sinceMs = 0L
         private set
 
--- a/src/main/kotlin/mintfield/core/leadership/CancellationWatermark.kt
+++ b/src/main/kotlin/mintfield/core/leadership/CancellationWatermark.kt
@@ -8,7 +8,7 @@
  * as at the time of that read, has delivered its complete [CancellationLog]. A peer that is unresponsive, partitioned or newly started
  * does not advance the watermark.
  *
- * All times are in milliseconds of this controller's steady clock. A peer's response counts from the time of the request, because the
+ * All times are in milliseconds of this controller's monotonic clock. A peer's response counts from the time of the request, because the
  * response may have been delayed in the network.
  */
 class CancellationWatermark(
--- a/src/main/kotlin/mintfield/core/leadership/LeaseClock.kt
+++ b/src/main/kotlin/mintfield/core/leadership/LeaseClock.kt
@@ -6,7 +6,7 @@
  * Tracks how long a leader may act on its lease of [lifeMs]. The lease is counted from the *sending* of its last successful renewal, less
  * clock drift and a margin, so that it ends locally before it can end in the store.
  *
- * All times are in milliseconds of this controller's steady clock. The request that granted the lease was sent at [grantedSentAtMs].
+ * All times are in milliseconds of this controller's monotonic clock. The request that granted the lease was sent at [grantedSentAtMs].
  */
 class LeaseClock(
     private val lifeMs: Long,
--- a/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
+++ b/src/main/kotlin/mintfield/core/leadership/PeerFailureDetector.kt
@@ -6,7 +6,7 @@
  * Failure detector for peers, based on the status messages received from them. A peer counts as reachable for a short time after its last
  * message, and as unreachable only after a longer time without one. In between it is neither.
  *
- * All times are in milliseconds of this controller's steady clock; the controller started at [startedAtMs]. Not thread-safe.
+ * All times are in milliseconds of this controller's monotonic clock; the controller started at [startedAtMs]. Not thread-safe.
  */
 class PeerFailureDetector(
     private val startedAtMs: Long,
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -2,7 +2,7 @@
 
 import mintfield.core.constants.PeerConstants
 
-/** Tracks whether the store serves this controller, from the outcomes of its calls. Times are in milliseconds of a steady clock. Not thread-safe. */
+/** Tracks whether the store serves this controller, from the outcomes of its calls. Times are in milliseconds of a monotonic clock. Not thread-safe. */
 class StoreConnectivity {
     private var unservedSinceMs: Long? = null
     private var noResponseSinceMs: Long? = null
--- a/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
+++ b/src/main/kotlin/mintfield/core/ownership/AssignmentChangePlanner.kt
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Whether the machine may be released to the target of its move: no plan for it is being written, no direct command to it is
+     * Whether the machine may be released to the target of its move: no plan for it is being written, no direct call to it is
      * unanswered, and it is neither being released to the cloud nor fenced. The heartbeats of a machine in one of the last two states must
      * not be responded to. Cancels planned attempts whose start was never sent; an attempt whose start was sent stays planned until the new
      * owner reports its state.
--- a/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
+++ b/src/main/kotlin/mintfield/core/ownership/HandoverAgent.kt
@@ -38,7 +38,7 @@
 
     /** The next transaction; null if no change is required. The leader stops acting for the machines that the transaction releases. */
     fun next(nowMs: Long): AssignmentTransaction? {
-        if (!scheduler.loaded || table.revision == 0L) return null
+        if (!scheduler.isReplayComplete || table.revision == 0L) return null
         reconcile(nowMs)
         moveTimer.observeMoves(table.moving, nowMs)
         moveTimer.observeTokens({ machine -> cluster.machines[machine]?.let(cluster::hasSeenOurToken) == true }, nowMs)
--- a/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
+++ b/src/main/kotlin/mintfield/core/ownership/MachineClaims.kt
@@ -5,7 +5,7 @@
 import mintfield.core.fleet.FleetManager
 
 /**
- * Claims unowned machines for a shard: those that its leader provisioned, and those in the cloud's listing that [policy] assigns to the
+ * Claims unowned machines for a shard: those that its leader provisioned, and those in the cloud's list that [policy] assigns to the
  * shard. A scale-out intent is completed only when all machines provisioned for it are claimed, so that none is lost if the leader fails.
  */
 internal class MachineClaims(
--- a/src/main/kotlin/mintfield/core/ownership/Ownership.kt
+++ b/src/main/kotlin/mintfield/core/ownership/Ownership.kt
@@ -20,7 +20,7 @@
     fun foreignSpec(job: String): JobSpec?
 
     /** The number of machines that this leader is claiming. It provisions no more machines until it owns all of them. */
-    val claiming: Int
+    val pendingClaimCount: Int
 
     /** The number of machines that may still be provisioned. */
     val scaleOutHeadroom: Int
--- a/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
+++ b/src/main/kotlin/mintfield/core/ownership/RemoteTaskTracker.kt
@@ -31,7 +31,7 @@
 
     /** The queries due at [nowMs], one for each machine; empty if the query interval has not passed since the last queries. */
     fun dueQueries(nowMs: Long): List<ForeignTaskQuery> {
-        if (!scheduler.loaded || nowMs - lastQueryMs < ShardingConstants.FOREIGN_TASK_QUERY_INTERVAL_MS) return emptyList()
+        if (!scheduler.isReplayComplete || nowMs - lastQueryMs < ShardingConstants.FOREIGN_TASK_QUERY_INTERVAL_MS) return emptyList()
         lastQueryMs = nowMs
         val remoteMachines = cluster.machines.values.filter { it.state == MachineState.OWNED_ELSEWHERE }
         return (remoteMachines.map { it.id } + endedTasks.keys)
--- a/src/main/kotlin/mintfield/core/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/mintfield/core/ownership/ShardOwnership.kt
@@ -27,7 +27,7 @@
     /** Machines whose termination the cloud has confirmed and whose assignment is not deleted yet. */
     val terminatedMachines: Set<String> get() = terminated
 
-    override val claiming: Int get() = claims.size
+    override val pendingClaimCount: Int get() = claims.size
 
     override val scaleOutHeadroom: Int get() = maxOf(0, ceiling - table.count(shard) - claims.size)
 
--- a/src/main/kotlin/mintfield/core/ownership/WholeFleet.kt
+++ b/src/main/kotlin/mintfield/core/ownership/WholeFleet.kt
@@ -14,7 +14,7 @@
 
     override fun foreignSpec(job: String): JobSpec? = null
 
-    override val claiming get() = 0
+    override val pendingClaimCount get() = 0
 
     override val scaleOutHeadroom get() = Int.MAX_VALUE
 
--- a/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineClaim.kt
@@ -10,7 +10,7 @@
 /** The due times of a waiting job and the work that remains until it is done. */
 internal class DeadlineClaim(
     val job: Job,
-    /** Times of day in milliseconds by which the job should be done, ascending, without those that it cannot meet any more. */
+    /** Wall-clock times in milliseconds by which the job should be done, ascending, without those that it cannot meet any more. */
     val dueTimesMs: List<Double>,
     /** The earliest due time of a strict objective, which few jobs may miss; null if there is none. */
     val strictDueMs: Double?,
@@ -32,7 +32,7 @@
     /** Whether the class of [spec] has an objective. */
     fun hasObjective(spec: JobSpec): Boolean = spec.jobClass in objectives
 
-    /** The claim of [job] at the time of day [wallMs]. */
+    /** The claim of [job] at the wall-clock time [wallMs]. */
     fun of(
         job: Job,
         wallMs: Long,
--- a/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/DeadlineOrder.kt
@@ -22,7 +22,7 @@
     private val cluster: Cluster,
     private val claims: DeadlineClaims,
 ) {
-    /** The order of [jobs] at the time of day [wallMs]. Sets [Job.expedited] of those that are boosted. */
+    /** The order of [jobs] at the wall-clock time [wallMs]. Sets [Job.expedited] of the jobs to expedite. */
     fun sorted(
         jobs: List<Job>,
         wallMs: Long,
@@ -72,19 +72,19 @@
         wallMs: Long,
     ): OnTimeSelection {
         if (critical.isEmpty()) return OnTimeSelection(critical, critical)
-        val boostedCapacity = capacity * PlacementConstants.MAX_EXPEDITED_CPU_FRACTION
-        val selection = selectOnTime(critical, 0.0, boostedCapacity, wallMs) { it.strictDueMs!! }
-        var freeCpus = boostedCapacity
+        val expeditedCapacity = capacity * PlacementConstants.MAX_EXPEDITED_CPU_FRACTION
+        val selection = selectOnTime(critical, 0.0, expeditedCapacity, wallMs) { it.strictDueMs!! }
+        var freeCpus = expeditedCapacity
         for (job in cluster.jobs.values) if (job.expedited) freeCpus -= job.activeAttempts.size * job.spec.cpus
-        val (boosted, others) =
+        val (expedited, others) =
             selection.onTime.sortedWith(compareBy({ it.strictDueMs }, { it.job.spec.id })).partition { claim ->
                 val cpus = claim.job.schedulableTasks * claim.job.spec.cpus
                 val fits = cpus <= freeCpus
                 if (fits) freeCpus -= cpus
                 fits
             }
-        boosted.forEach { it.job.expedited = true }
-        return OnTimeSelection(boosted, others + selection.postponed)
+        expedited.forEach { it.job.expedited = true }
+        return OnTimeSelection(expedited, others + selection.postponed)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/core/placement/FailoverGracePeriod.kt
+++ b/src/main/kotlin/mintfield/core/placement/FailoverGracePeriod.kt
@@ -20,12 +20,12 @@
         val spot: Boolean,
     )
 
-    private val underWay = nowMs - cluster.replayedAtMs < cluster.timings.failoverGraceMs
+    private val isActive = nowMs - cluster.replayedAtMs < cluster.timings.failoverGraceMs
     private val expectedByUse = HashMap<ImageUse, Boolean>()
 
     /** Whether tasks of [job] must be placed on machines that have their image. */
     fun appliesTo(job: Job): Boolean {
-        if (!underWay) return false
+        if (!isActive) return false
         val spec = job.spec
         return expectedByUse.getOrPut(ImageUse(spec.image, spec.spot)) {
             cluster.machines.values.any { isExpected(it) && it.images.has(spec.image) && (!it.spot || spec.spot) }
--- a/src/main/kotlin/mintfield/core/placement/JobOrder.kt
+++ b/src/main/kotlin/mintfield/core/placement/JobOrder.kt
@@ -23,7 +23,7 @@
     private val claims = DeadlineClaims(cluster)
     private val deadlineOrder = DeadlineOrder(cluster, claims)
 
-    /** The jobs of [waiting] in their order at the time of day [wallMs]. Sets [Job.expedited] of those that go ahead for their deadline. */
+    /** The jobs of [waiting] in their order at the wall-clock time [wallMs]. Sets [Job.expedited] of the jobs to expedite. */
     fun sorted(
         waiting: List<Job>,
         wallMs: Long,
--- a/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
+++ b/src/main/kotlin/mintfield/core/placement/ReplicaReserve.kt
@@ -7,7 +7,7 @@
 import mintfield.core.model.Shape
 
 /**
- * Capacity on machines other than spot machines that arrays leave free for new replicas of services, so that replicas need not preempt
+ * Capacity on on-demand machines that arrays leave free for new replicas of services, so that replicas need not preempt
  * other tasks.
  *
  * The size of the reserve depends on how many replicas start and end, not on the number of machines: a reserve on each of hundreds of
--- a/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
+++ b/src/main/kotlin/mintfield/core/placement/SchedulingRound.kt
@@ -16,7 +16,7 @@
 
     /**
      * Plans up to [maxTasks] tasks, only tasks of services if [replicasOnly] is set. Returns the number of planned tasks. [nowMs] is the
-     * monotonic time and [wallMs] the time of day, both in milliseconds.
+     * monotonic time and [wallMs] the wall-clock time, both in milliseconds.
      */
     fun run(
         nowMs: Long,
--- a/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
+++ b/src/main/kotlin/mintfield/core/placement/TaskPlacement.kt
@@ -70,7 +70,7 @@
         private val maxFetchS: Double,
     ) {
         private val spec: JobSpec = job.spec
-        private val rankedMachines = MachineRanking(spec, fitting.filter { isImageAccepted(it) && hasRoom(it) })
+        private val rankedMachines = MachineRanking(spec, fitting.filter { isImageAccepted(it) && hasCapacity(it) })
         private val tasks = job.waiting(maxTasks).iterator()
         private var planned = 0
 
@@ -88,7 +88,7 @@
             return rank == ImageRank.PRESENT || (rank <= maxImageRank && machine.images.fetchS(spec.image, spec.imageGb) <= maxFetchS)
         }
 
-        private fun hasRoom(machine: Machine) = machine.occupancy.hasCapacityFor(spec.cpus + reserve.margin(machine, spec), spec.gpus, spec.memoryGb)
+        private fun hasCapacity(machine: Machine) = machine.occupancy.hasCapacityFor(spec.cpus + reserve.margin(machine, spec), spec.gpus, spec.memoryGb)
 
         private fun fill(
             maxRank: Int,
@@ -110,7 +110,7 @@
         ) {
             val isSpread = spreading && spec.shape == Shape.SERVICE
             val maxServiceCpus = if (isSpread) machine.type.cpus * PlacementConstants.SPREAD_CPU_FRACTION else machine.type.cpus
-            while (tasks.hasNext() && machine.occupancy.serviceCpus + spec.cpus <= maxServiceCpus && hasRoom(machine) && zones.allows(machine.zone)) {
+            while (tasks.hasNext() && machine.occupancy.serviceCpus + spec.cpus <= maxServiceCpus && hasCapacity(machine) && zones.allows(machine.zone)) {
                 reserve.recordTask(machine, spec.cpus)
                 planNext(machine)
             }
--- a/src/test/kotlin/mintfield/app/StartCostTest.kt
+++ b/src/test/kotlin/mintfield/app/StartCostTest.kt
@@ -44,7 +44,7 @@
 
     @Test
     fun `a start loads neither a JSON object mapper nor a logging framework nor locale data nor proxies`() {
-        // Each of these accounted for a tenth to a quarter of the start time: up to 2 of 7.6 s under a tight CPU quota.
+        // Each of these accounted for a tenth to a quarter of the start time, that is two seconds, with 7.6 percent of a core.
         val expensive = listOf("com.fasterxml.jackson.databind.ObjectMapper", "java.util.logging.Logger", "sun.util.cldr.", "java.lang.reflect.Proxy$")
         assertEquals(emptyList<String>(), loaded.filter { name -> expensive.any { name.startsWith(it) } })
     }
