--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -67,7 +67,7 @@
     fun ended(
         id: String,
         state: FinalState,
-    ) = replica.ended(id, state)
+    ) = replica.onJobEnded(id, state)
 
     /** Waits until the replica shows every change made in the state service before the call; false if the state service does not respond. */
     suspend fun awaitCurrent(): Boolean = freshness.await()
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -43,7 +43,7 @@
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
         val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
         if (state != null) {
-            replica.ended(id, state)
+            replica.onJobEnded(id, state)
         } else if (id in replica.dependencies.unresolved) {
             // The job's record may have arrived while its final state was read. If not, it is unknown how the job ended.
             Log.error("$id: neither a record nor a readable final state found; the jobs that depend on it wait")
