--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -29,7 +29,7 @@
         val shardLeader = elections.member(shard)?.leader?.shardLeader
         val load = shardLeader?.load() ?: return null
         // Leaders of other shards in this process learn the load here, as peers do from the status message.
-        sharding?.loadReported(shard, load)
+        sharding?.recordLoad(shard, load)
         return load
     }
 
--- a/src/main/kotlin/mintfield/app/PeerRequests.kt
+++ b/src/main/kotlin/mintfield/app/PeerRequests.kt
@@ -27,7 +27,7 @@
         shard: String,
         load: ShardLoad,
     ) {
-        sharding?.loadReported(shard, load)
+        sharding?.recordLoad(shard, load)
     }
 
     override fun peerLeads(
@@ -41,7 +41,7 @@
         generation: Int,
     ) = versions.announced(peer, generation)
 
-    override fun foreignTasksQueried(body: ByteArray) = foreignTasks.answer(body)
+    override fun foreignTasksQueried(body: ByteArray) = foreignTasks.respond(body)
 
     override fun cancellationsAfter(
         incarnation: Long,
--- a/src/main/kotlin/mintfield/app/cli/ArgumentParser.kt
+++ b/src/main/kotlin/mintfield/app/cli/ArgumentParser.kt
@@ -13,7 +13,7 @@
 private const val HELP = "help"
 private const val VERSION = "version"
 
-/** Commands; without one the program serves. */
+/** The commands. Without a command the program runs a controller. */
 private const val CHECK = "check"
 private const val WARM_UP = "warm-up"
 private const val MACHINES = "machines"
@@ -28,7 +28,7 @@
         "machines, with --config and --operator: who owns machines and which of them move, orders a move or takes it back, " +
         "has a controller give its shares to others or lead again, ends the sharing"
 
-/** Reads the arguments of the command line, without carrying anything out. */
+/** Parses the arguments of the command line; has no side effects except [printHelp]. */
 internal object ArgumentParser {
     private val options =
         Options()
@@ -38,7 +38,7 @@
             .addOption(Option("h", HELP, false, "show this help"))
             .addOption(Option("V", VERSION, false, "show the version"))
 
-    /** What [arguments] ask for. */
+    /** Parses [arguments]; returns [Invocation.Unusable], with the reason, if they are invalid. */
     fun parse(arguments: Array<String>): Invocation =
         try {
             invocation(DefaultParser().parse(options, arguments))
@@ -63,7 +63,7 @@
             null -> withSettings(line) { Invocation.Serve(it) }
             CHECK -> arguments.singleOrNull()?.let { Invocation.Check(it) } ?: Invocation.Unusable("$CHECK expects one FILE")
             MACHINES -> withSettings(line) { Invocation.Machines(it, line.hasOption(JSON), MachinesRequest.parse(arguments)) }
-            // The operators' file plays no part in how a job stands.
+            // The state of a job does not depend on the operators' file.
             PIPELINE ->
                 arguments.singleOrNull()?.let { job -> withSettings(line) { Invocation.Pipeline(it.copy(operator = null), job) } }
                     ?: Invocation.Unusable("$PIPELINE expects one JOB")
--- a/src/main/kotlin/mintfield/app/cli/CommandLoop.kt
+++ b/src/main/kotlin/mintfield/app/cli/CommandLoop.kt
@@ -8,7 +8,7 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.CompletableFuture
 
-/** Runs an operators' command that calls external services, on an event loop of its own that ends with it. */
+/** Runs an operators' command that calls external services, on an event loop that is started for it and stopped when it ends. */
 object CommandLoop {
     /** Blocks until [action] has ended, and returns its exit code. */
     fun run(
@@ -26,7 +26,7 @@
         return try {
             exitCode.get()
         } finally {
-            // The store accepts a limited number of connections, which a process with many commands, such as a test, would use up.
+            // The store accepts a limited number of connections. A process that runs many commands, such as a test, would exhaust them.
             group.shutdownNow()
             loop.stop()
         }
--- a/src/main/kotlin/mintfield/app/cli/Invocation.kt
+++ b/src/main/kotlin/mintfield/app/cli/Invocation.kt
@@ -1,6 +1,6 @@
 package mintfield.app.cli
 
-/** What the command line asks the program to do. */
+/** A parsed command line: the action that the program is to carry out. */
 internal sealed interface Invocation {
     /** Print the help. */
     data object Help : Invocation
@@ -18,7 +18,7 @@
         val path: String,
     ) : Invocation
 
-    /** Show or change who owns machines; [request] is null if the words after the command cannot be used. */
+    /** Show or change the ownership of machines; [request] is null if the words after the command are invalid. */
     data class Machines(
         val files: SettingsFiles,
         val json: Boolean,
@@ -31,10 +31,10 @@
         val job: String,
     ) : Invocation
 
-    /** Exercise the program for the class-data archive. */
+    /** Exercise the program, so that the JVM can record the loaded classes in the class-data archive. */
     data object WarmUp : Invocation
 
-    /** The arguments cannot be used, for [reason]. */
+    /** The arguments are invalid, for [reason]. */
     data class Unusable(
         val reason: String,
     ) : Invocation
--- a/src/main/kotlin/mintfield/app/cli/MachineRanges.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachineRanges.kt
@@ -3,8 +3,8 @@
 import org.roaringbitmap.RoaringBitmap
 
 /**
- * The names of many machines, described as ranges such as `m-000001..000040`. The numbers at the end of names are kept as one compressed
- * bitmap for each prefix and number of digits.
+ * A compact description of many machine names as ranges such as `m-000001..000040`. The numbers at the end of names are kept in one
+ * compressed bitmap for each prefix and number of digits.
  */
 class MachineRanges(
     names: Collection<String>,
@@ -15,7 +15,7 @@
     )
 
     private val numbered = sortedMapOf<Series, RoaringBitmap>(compareBy({ it.prefix }, { it.width }))
-    private val others = ArrayList<String>()
+    private val unnumbered = ArrayList<String>()
 
     init {
         names.forEach(::add)
@@ -24,14 +24,14 @@
     private fun add(name: String) {
         val digits = name.takeLastWhile(Char::isDigit).takeLast(MAX_DIGITS)
         if (digits.isEmpty()) {
-            others.add(name)
+            unnumbered.add(name)
             return
         }
         numbered.getOrPut(Series(name.dropLast(digits.length), digits.length)) { RoaringBitmap() }.add(digits.toInt())
     }
 
-    /** The names as single ones and ranges: first those that end in a number, then the others, each in order. */
-    fun describe(): List<String> = numbered.flatMap { (series, numbers) -> ranges(series, numbers) } + others.sorted()
+    /** Returns single names and ranges: first the names that end in a number, then the other names, both sorted. */
+    fun describe(): List<String> = numbered.flatMap { (series, numbers) -> ranges(series, numbers) } + unnumbered.sorted()
 
     private fun ranges(
         series: Series,
@@ -49,7 +49,7 @@
     }
 
     private companion object {
-        /** Digits of a number that certainly fits 32 bits. */
+        /** The largest number of digits with which every number fits a signed 32-bit integer. */
         const val MAX_DIGITS = 9
     }
 }
--- a/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
@@ -7,19 +7,19 @@
 import mintfield.core.ownership.AssignmentRefusal
 import mintfield.core.ownership.ShardingSettings
 
-/** The command `machines`: shows who owns machines and which of them move, orders and cancels moves, drains controllers, ends sharding. */
+/** The command `machines`: shows owners and moves of machines, orders and cancels moves, drains and resumes controllers, ends sharding. */
 class MachinesCommand(
     private val settings: Settings,
     private val sharding: ShardingSettings,
-    /** Whether all shards are shown as JSON. */
+    /** Whether [MachinesRequest.ShowAll] prints JSON instead of lines. */
     private val json: Boolean = false,
     private val print: (String) -> Unit,
 ) {
     private val controllers = (settings.peers.map { it.member } + settings.member).sorted()
 
-    /** Carries out [request] on the store; blocks until it has answered. */
+    /** Carries out [request] on the store; blocks until the outcome is known or the store has failed to respond. */
     fun run(request: MachinesRequest): ExitCode =
-        onLoop { commands ->
+        withCommands { commands ->
             when (request) {
                 MachinesRequest.ShowAll -> showAll(commands)
                 is MachinesRequest.ShowShard -> show(commands, request.shard)
@@ -31,8 +31,8 @@
             }
         }
 
-    private fun onLoop(action: suspend (OperatorCommands) -> ExitCode): ExitCode {
-        val tracer = MoveTracerFactory.create(settings, TRACED_AS)
+    private fun withCommands(action: suspend (OperatorCommands) -> ExitCode): ExitCode {
+        val tracer = MoveTracerFactory.create(settings, TRACE_PROCESS_NAME)
         return try {
             CommandLoop.run(settings) { services -> action(OperatorCommands(sharding, controllers, services.store, tracer)) }
         } finally {
@@ -79,7 +79,7 @@
     }
 
     private companion object {
-        /** The name of this process in traces, in place of a controller's. */
-        const val TRACED_AS = "machines"
+        /** The name of this process in traces, where a controller has its member name. */
+        const val TRACE_PROCESS_NAME = "machines"
     }
 }
--- a/src/main/kotlin/mintfield/app/cli/MachinesRequest.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesRequest.kt
@@ -1,8 +1,8 @@
 package mintfield.app.cli
 
-/** What the command `machines` is asked to do. */
+/** A request to the command `machines`, parsed from the words after it. */
 sealed interface MachinesRequest {
-    /** Show all shards, the moves under way and the drained controllers. */
+    /** Show all shards, the moves in progress and the drained controllers. */
     data object ShowAll : MachinesRequest
 
     /** Show the machines of [shard]. */
@@ -21,20 +21,20 @@
         val machine: String,
     ) : MachinesRequest
 
-    /** Drain [controller]. */
+    /** Drain [controller], so that other controllers lead its shards. */
     data class Drain(
         val controller: String,
     ) : MachinesRequest
 
-    /** Let the drained [controller] lead again. */
+    /** End the drain of [controller], so that it can lead again. */
     data class Resume(
         val controller: String,
     ) : MachinesRequest
 
-    /** End the sharding of machines. */
+    /** End sharding, so that one controller can lead all machines. */
     data object EndSharding : MachinesRequest
 
-    /** How a request is written on the command line. */
+    /** The syntax of requests on the command line. */
     companion object {
         private const val SHOW = "show"
         private const val MOVE = "move"
@@ -43,10 +43,10 @@
         private const val RESUME = "resume"
         private const val UNSHARE = "unshare"
 
-        /** What is printed when words cannot be used. */
+        /** The message for invalid words. */
         const val USAGE = "machines expects show [SHARE], move MACHINE SHARE, cancel MACHINE, drain CONTROLLER, resume CONTROLLER or unshare"
 
-        /** The request that the [words] after the command make; null if they cannot be used. */
+        /** Parses the [words] after the command; returns null if they are invalid. */
         fun parse(words: List<String>): MachinesRequest? {
             val arguments = words.drop(1)
             return when (words.firstOrNull()) {
--- a/src/main/kotlin/mintfield/app/cli/OwnershipPrinter.kt
+++ b/src/main/kotlin/mintfield/app/cli/OwnershipPrinter.kt
@@ -4,20 +4,20 @@
 import mintfield.core.ownership.Assignment
 import mintfield.io.json.Json
 
-/** Formats an [OwnershipStatus] for operators, as lines, or for programs, as JSON by docs/schemas/machines-show.schema.json. */
+/** Formats an [OwnershipStatus] as lines for operators, or as JSON that conforms to docs/schemas/machines-show.schema.json for programs. */
 object OwnershipPrinter {
-    /** A line for each shard, each move and each drained controller. */
+    /** Returns a line for each shard, each move and each drained controller, in this order. */
     fun lines(status: OwnershipStatus): List<String> {
         val shards = status.shards.map { "${it.name}: ${it.machines.size} machines, led by ${it.leader ?: "nobody"}" }
         val moves = status.moves.map { (machine, move) -> "$machine: ${describe(move)}" }
         val drained =
             status.drained.map { controller ->
-                "$controller: drained, leads ${status.ledBy(controller).joinToString(", ").ifEmpty { "nothing" }}"
+                "$controller: drained, leads ${status.shardsLedBy(controller).joinToString(", ").ifEmpty { "nothing" }}"
             }
         return shards + moves + drained
     }
 
-    /** The status as one JSON object. */
+    /** Returns the status as one JSON object. */
     fun json(status: OwnershipStatus): String =
         String(
             Json.obj {
@@ -45,7 +45,7 @@
                     writeStartObject()
                     writeStringField("controller", controller)
                     writeArrayFieldStart("leads")
-                    status.ledBy(controller).forEach(::writeString)
+                    status.shardsLedBy(controller).forEach(::writeString)
                     writeEndArray()
                     writeEndObject()
                 }
--- a/src/main/kotlin/mintfield/app/cli/PipelineReader.kt
+++ b/src/main/kotlin/mintfield/app/cli/PipelineReader.kt
@@ -10,11 +10,11 @@
 import mintfield.io.worker.JobCodec
 import mintfield.io.worker.JobPhaseCodec
 
-/** Reads what the store holds of a job and of those that it depends on, and describes it for operators. */
+/** Reads the records of a job and of its predecessors, direct and indirect, from the store and describes them for operators. */
 class PipelineReader(
     private val store: StoreClient,
 ) {
-    /** What the store holds of one job. */
+    /** The state of one job as recorded in the store. */
     private sealed interface Recorded {
         class Ended(
             val state: FinalState,
@@ -27,16 +27,16 @@
 
         data object Unreadable : Recorded
 
-        data object Nothing : Recorded
+        data object NotFound : Recorded
     }
 
-    /** A job that is to be described, [depth] dependencies away from the one that was asked for. */
+    /** A job to describe, [depth] dependencies away from the requested job. */
     private class Visit(
         val id: String,
         val depth: Int,
     )
 
-    /** A line for the job [id] and each of its predecessors, indented under it; null if the store does not answer. */
+    /** Returns a line for the job [id] and each of its predecessors, which are indented; null if the store does not respond. */
     suspend fun describe(id: String): List<String>? {
         val lines = ArrayList<String>()
         val seen = HashSet<String>()
@@ -64,12 +64,12 @@
                 if (recorded.predecessors.isEmpty()) state else "$state, submitted to start after ${recorded.predecessors.size} others:"
             }
             Recorded.Unreadable -> "has a record that cannot be read"
-            Recorded.Nothing -> "was never accepted"
+            Recorded.NotFound -> "was never accepted"
         }
 
-    /** What the store holds of the job [id]; null if it does not answer. */
+    /** The recorded state of the job [id]; null if the store does not respond. */
     private suspend fun read(id: String): Recorded? {
-        if (!JobCodec.isId(id)) return Recorded.Nothing
+        if (!JobCodec.isId(id)) return Recorded.NotFound
         val final = store.get(Keys.final(id)) as? StoreResult.Ok ?: return null
         val entry = final.value
         return if (entry == null) readUnfinished(id) else ended(entry)
@@ -77,7 +77,7 @@
 
     private suspend fun readUnfinished(id: String): Recorded? {
         val live = store.get(Keys.live(id)) as? StoreResult.Ok ?: return null
-        return live.value?.let(::unfinished) ?: Recorded.Nothing
+        return live.value?.let(::unfinished) ?: Recorded.NotFound
     }
 
     private fun ended(entry: Entry): Recorded = FinalStateCodec.decode(entry.data).valueOrNull?.let { Recorded.Ended(it) } ?: Recorded.Unreadable
@@ -90,7 +90,7 @@
     private companion object {
         const val INDENT = "  "
 
-        /** Jobs shown at the most; a line costs one or two requests to the store. */
+        /** Maximum number of jobs shown, since each line costs one or two requests to the store. */
         const val MAX_LINES = 200
     }
 }
--- a/src/main/kotlin/mintfield/app/cli/SettingsFiles.kt
+++ b/src/main/kotlin/mintfield/app/cli/SettingsFiles.kt
@@ -5,15 +5,15 @@
 import mintfield.io.settings.SettingsFault
 import mintfield.io.settings.SettingsFile
 
-/** The settings files that the command line names: the platform's, [config], and the operators' own, [operator], if there is one. */
+/** The paths of the settings files given on the command line: the platform's file [config] and the operators' file [operator], null if not given. */
 internal data class SettingsFiles(
     val config: String,
     val operator: String?,
 ) {
-    /** The settings of both files; throws [SettingsFault] if a file cannot be read or is faulty, or if they do not fit together. */
+    /** Reads both files. Throws [SettingsFault] if a file cannot be read or is invalid, or if the files contradict each other. */
     fun read(): Settings {
         val settings = SettingsFile.read(config)
-        // The operators' file is touched only when it is named: each class that is loaded costs time at the start.
+        // Without an operators' file its parser is not loaded, since every loaded class delays the start.
         if (operator == null) return settings
         val operatorSettings = OperatorFile.read(operator)
         operatorSettings.sharding?.problem(settings)?.let { throw SettingsFault(operator, it.message) }
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -131,7 +131,7 @@
         if (part != null) {
             // The controller that should lead the shard goes first, if it is up.
             delay(part.campaignDelayMs())
-            if (!part.activation.ready()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
+            if (!part.activation.ensureActivated()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
         }
         val sentAtMs = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value ?: return seekAgainAfter(StoreConstants.STORE_RETRY_MS)
@@ -163,7 +163,7 @@
         val preconditions = listOfNotNull(Precondition(keys.leader, 0), part?.activation?.precondition)
         return when (val result = store.txn(preconditions, listOf(put), urgent = true)) {
             is StoreResult.Ok -> {
-                part?.activation?.checkGuard(result.value)
+                part?.activation?.checkMarker(result.value)
                 (result.value as? TxnOutcome.Applied)?.let { Claim.Won(it.revision) } ?: Claim.Lost
             }
             is StoreResult.Refused -> Claim.Lost
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -26,7 +26,7 @@
     fun forHeartbeat(body: ByteArray): LeaderElection? {
         if (sharding == null) return members.single()
         val machine = HeartbeatCodec.decode(body)?.machine ?: return null
-        return sharding.shardFor(machine)?.let(::member)
+        return sharding.servingShardOf(machine)?.let(::member)
     }
 
     /** The terms that this process leads with, by shard, or by [ONLY] if there are no shards. */
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -69,7 +69,7 @@
     private val leaseRenewal = LeaseRenewal(loop, store, tenure, this)
 
     /** What it does for the shard that it leads; null if machines are not shared. */
-    val shardLeader: ShardLeader? = shardLeadership?.leader(scheduler)
+    val shardLeader: ShardLeader? = shardLeadership?.createLeader(scheduler)
 
     private fun isScheduledHere(spec: JobSpec): Boolean {
         val shard = settings.operator.sharding?.ofTeam(spec.team)
--- a/src/main/kotlin/mintfield/app/sharding/ActivationObstacle.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ActivationObstacle.kt
@@ -1,27 +1,27 @@
 package mintfield.app.sharding
 
-/** Why no shard may be led yet; [reason] is logged. */
+/** A condition that keeps [ShardingActivation] from letting shards be led; [reason] is logged. */
 internal sealed interface ActivationObstacle {
-    /** The reason as a phrase. */
+    /** The reason, worded to follow a colon in a log line. */
     val reason: String
 
-    /** The store does not answer. */
+    /** The state service did not respond, or did not apply the transaction that writes the marker. */
     data object StoreUnavailable : ActivationObstacle {
-        override val reason get() = "the state service does not answer"
+        override val reason get() = "the state service does not respond"
     }
 
-    /** [controller] leads all machines; null if its record does not name it. */
+    /** A controller that runs without sharding leads all machines. [controller] is null if the leader record names none. */
     data class LedWithoutSharding(
         val controller: String?,
     ) : ActivationObstacle {
-        override val reason get() = "$controller leads all machines; is it without the block sharing?"
+        override val reason get() = "$controller leads all machines; its operators' file may lack the block sharing"
     }
 
-    /** The leader of all machines left [records] of unfinished work, under keys with [prefix]. */
+    /** An earlier leader of all machines has left [records] of unfinished work under keys that start with [prefix]. */
     data class UnfinishedWork(
         val records: String,
         val prefix: String,
     ) : ActivationObstacle {
-        override val reason get() = "there are $records of the time before ($prefix): let a controller without sharing finish its jobs"
+        override val reason get() = "$records of a leader without sharding remain under $prefix; run a controller without sharding until its jobs have ended"
     }
 }
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -13,28 +13,28 @@
 import mintfield.io.store.StoreClient
 import mintfield.io.store.StoreResult
 
-/** Keeps this controller's replica of the assignments, and of the drained controllers, up to date with the store. */
+/** This controller's replica of the machine assignments and of the set of drained controllers, updated from the store by watches. */
 class AssignmentReplica(
     private val store: StoreClient,
 ) {
-    /** The assignments as they were last read. */
+    /** The assignments as of the last read. */
     val table = AssignmentTable()
 
-    /** The record of drained controllers as it was last read. */
+    /** The record of drained controllers as of the last read, with its revision. */
     var drainRecord = DrainRecord.NONE
         private set
 
-    /** The controllers that are drained, by the last record that could be read. */
+    /** The names of the drained controllers, from the last record that could be decoded. */
     var drained: Set<String> = emptySet()
         private set
 
-    /** Applies changes as they come, until cancelled. */
+    /** Watches the store and applies changes, until cancelled. */
     suspend fun follow() {
         while (true) if (!catchUp(StoreConstants.JOBS_WATCH_MS)) delay(StoreConstants.STORE_RETRY_MS)
     }
 
-    /** Applies everything that was written before this call; returns false if the store does not answer. */
-    suspend fun current(): Boolean = catchUp(waitMs = 0)
+    /** Applies every change that was written before the call; returns false if the store does not respond. */
+    suspend fun refresh(): Boolean = catchUp(waitMs = 0)
 
     private suspend fun catchUp(waitMs: Long): Boolean {
         if (table.revision == 0L) return load()
@@ -50,7 +50,7 @@
         var readAt = 0L
         do {
             val page = (store.list(Keys.ASSIGNMENTS, after, StoreConstants.PAGE_ENTRIES) as? StoreResult.Ok)?.value ?: return false
-            // The first page is the oldest: nothing that was written before it is missing.
+            // The table is complete only as of the first page: pages may miss later changes, which the watch delivers after this revision.
             if (readAt == 0L) readAt = page.revision
             page.entries.forEach { apply(it.key, it.data, it.revision) }
             after = page.entries.lastOrNull()?.key
@@ -59,7 +59,7 @@
         return true
     }
 
-    /** Applies one record; [data] is null if it was deleted. */
+    /** Applies the record under [key] as of [revision]; [data] is null if the record was deleted. */
     private fun apply(
         key: String,
         data: Map<String, Any?>?,
@@ -75,12 +75,12 @@
     ) {
         val number = key.removePrefix(Keys.ASSIGNMENTS).toIntOrNull()
         if (number == null || number !in 0 until ShardingConstants.ASSIGNMENT_BLOCKS) {
-            Log.error("$key: not a block of assignments; it is left alone")
+            Log.error("$key: not the key of an assignment block; ignored")
             return
         }
-        // No controller deletes a block, so a deleted one says nothing of its machines, least of all that they are gone.
+        // No controller deletes a block, so a deletion does not mean that its machines have no owner: it is handled as an unreadable block.
         val assignments = data?.let(AssignmentCodec::parse)
-        if (assignments == null) Log.error("$key: the assignments of revision $revision cannot be read; they are kept, and their machines left alone")
+        if (assignments == null) Log.error("$key: assignments of revision $revision cannot be decoded; record kept, its machines not managed")
         table.apply(number, AssignmentBlock(revision, assignments))
     }
 
@@ -90,7 +90,7 @@
     ) {
         if (revision <= drainRecord.revision) return
         val members = if (data == null) emptySet() else DrainCodec.parse(data)
-        if (members == null) Log.error("${Keys.DRAINED}: the record of revision $revision cannot be read; what was known before stands")
+        if (members == null) Log.error("${Keys.DRAINED}: record of revision $revision cannot be decoded; the last decoded set stays in effect")
         drainRecord = DrainRecord(revision, members)
         drained = members ?: drained
     }
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentWriter.kt
@@ -18,7 +18,7 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-/** Writes to the store the changes of assignments that [agent] wants, one transaction at a time, and reports the outcome of each. */
+/** Writes the assignment changes planned by [agent] to the store, one transaction at a time, and passes each outcome back to it. */
 internal class AssignmentWriter(
     shard: ShardSettings,
     private val loop: EventLoop,
@@ -28,7 +28,7 @@
 ) {
     private val leaderKey = LeaderKeys(shard.name).leader
 
-    /** Writes while [leader] may act, until cancelled. */
+    /** Writes transactions whenever [leader] may act, until cancelled. */
     suspend fun run(leader: Leader) {
         while (true) {
             val transaction = if (leader.mayAct()) agent.next(loop.nowMs()) else null
@@ -51,11 +51,11 @@
                 agent.refused(transaction)
                 delay(StoreConstants.STORE_RETRY_MS)
             }
-            is StoreResult.Ok -> answered(leader, transaction, result.value)
+            is StoreResult.Ok -> handleOutcome(leader, transaction, result.value)
         }
     }
 
-    /** This leader still leads at its term, nobody leads the shards that must have no leader, and no block has changed. */
+    /** The preconditions of [transaction]: this leader still leads in its term, shards that must have no leader have none, no block has changed. */
     private fun preconditions(transaction: AssignmentTransaction): List<Precondition> {
         val revisionByLeaderKey = LinkedHashMap<String, Long>()
         revisionByLeaderKey[leaderKey] = transaction.term
@@ -66,7 +66,7 @@
             transaction.blocks.map { (number, block) -> Precondition(Keys.assignments(number), block.guardRevision) }
     }
 
-    private suspend fun answered(
+    private suspend fun handleOutcome(
         leader: Leader,
         transaction: AssignmentTransaction,
         outcome: TxnOutcome,
@@ -77,6 +77,6 @@
         }
         agent.refused(transaction)
         if (outcome is TxnOutcome.Failed && leaderKey in outcome.keys) leader.checkLeaderKey()
-        assignments.current()
+        assignments.refresh()
     }
 }
--- a/src/main/kotlin/mintfield/app/sharding/CommandOutcome.kt
+++ b/src/main/kotlin/mintfield/app/sharding/CommandOutcome.kt
@@ -1,15 +1,15 @@
 package mintfield.app.sharding
 
-/** What became of an operator's command. */
+/** The outcome of an operator's command. */
 sealed interface CommandOutcome {
-    /** The command was carried out. */
+    /** The change is stored. */
     data object Done : CommandOutcome
 
-    /** The command was not carried out. */
+    /** The command is not permitted in the current state; nothing was changed. */
     data class Refused(
         val refusal: CommandRefusal,
     ) : CommandOutcome
 
-    /** The store did not answer, or kept changing meanwhile; whether the command was carried out is not known. */
+    /** The store did not respond, or each try met a concurrent change. It is unknown whether the command was carried out. */
     data object Unavailable : CommandOutcome
 }
--- a/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ForeignTaskRouter.kt
@@ -6,25 +6,25 @@
 import mintfield.core.ownership.ForeignTaskResponse
 import mintfield.io.ownership.ForeignTaskCodec
 
-/** Brings questions about foreign tasks to the leader of the shard that owns the machines, in this process or at a peer. */
+/** Routes queries about foreign tasks to the leader of the shard that owns the machines, in this process or at a peer. */
 class ForeignTaskRouter(
     private val relay: PeerRelay,
-    /** The elections of this process, which come to exist after this. */
+    /** Returns the elections of this process; a function, since they are created after the router. */
     private val elections: () -> LeaderElections,
 ) : ForeignTaskClient {
-    override suspend fun ask(
+    override suspend fun query(
         shard: String,
         queries: List<ForeignTaskQuery>,
     ): List<ForeignTaskResponse>? {
-        localLeader(shard)?.let { return it.answer(queries) }
+        localLeader(shard)?.let { return it.respond(queries) }
         val controller = elections().leaderOf(shard) ?: return null
         return relay.queryForeignTasks(controller, ForeignTaskCodec.encodeQueries(shard, queries))?.let(ForeignTaskCodec::decodeAnswers)
     }
 
-    /** Answers encoded questions of a peer's leader; null if the shard asked is not led here, or they cannot be read. */
-    fun answer(body: ByteArray): ByteArray? {
+    /** Returns the encoded responses to the queries in [body] from a peer; null if this process does not lead the shard or [body] is invalid. */
+    fun respond(body: ByteArray): ByteArray? {
         val (shard, queries) = ForeignTaskCodec.decodeQueries(body) ?: return null
-        return localLeader(shard)?.answer(queries)?.let(ForeignTaskCodec::encodeAnswers)
+        return localLeader(shard)?.respond(queries)?.let(ForeignTaskCodec::encodeAnswers)
     }
 
     private fun localLeader(shard: String): ShardLeader? = elections().member(shard)?.leader?.shardLeader
--- a/src/main/kotlin/mintfield/app/sharding/MoveTracerFactory.kt
+++ b/src/main/kotlin/mintfield/app/sharding/MoveTracerFactory.kt
@@ -6,9 +6,9 @@
 import mintfield.io.tracing.OpenTelemetryMoveTracer
 import java.io.IOException
 
-/** Makes the tracer of moves of machines that operators ask for: none, unless they name a file. */
+/** Creates the tracer for moves of machines between shards. Tracing is off unless the operators' file names a trace file. */
 object MoveTracerFactory {
-    /** The tracer of the process [name], by default the controller. A file that cannot be written costs the traces, not the service. */
+    /** Returns a tracer whose spans name the process [name]. If the file cannot be written, logs the failure and returns [MoveTracer.Off]. */
     fun create(
         settings: Settings,
         name: String = settings.member,
@@ -17,7 +17,7 @@
         return try {
             OpenTelemetryMoveTracer(file, name)
         } catch (e: IOException) {
-            Log.error("moves are not traced: $file: ${e.message}")
+            Log.error("$file: cannot write traces, tracing of machine moves is off: ${e.message}")
             MoveTracer.Off
         }
     }
--- a/src/main/kotlin/mintfield/app/sharding/OperatorCommands.kt
+++ b/src/main/kotlin/mintfield/app/sharding/OperatorCommands.kt
@@ -24,32 +24,32 @@
 import mintfield.io.store.TxnOutcome
 
 /**
- * Operators' commands on assignments and drained controllers. They are carried out on the store itself, so no controller need be up.
- * A command whose record changes meanwhile is tried again a few times.
+ * Operators' commands that read or change assignments and drained controllers. They access the store directly, so no controller needs to
+ * run. If the record that a command changes is modified concurrently, the command is tried again, up to [MAX_TRIES] times in all.
  */
 class OperatorCommands(
     private val settings: ShardingSettings,
-    /** The names of all controllers. */
+    /** The names of all configured controllers. */
     private val controllers: List<String>,
     private val store: StoreClient,
     private val tracer: MoveTracer = MoveTracer.Off,
 ) {
-    /** What one try of a command leads to. */
+    /** The result of evaluating a command against the records as read for one try. */
     private sealed interface Plan {
-        /** [value] is to be written to [key], provided that the key is still at [revision]. */
+        /** Write [value] to [key], on the precondition that the key is still at [revision]. */
         class Write(
             val key: String,
             val revision: Long,
             val value: ByteArray,
         ) : Plan
 
-        /** Nothing is to be written; the command ends with [outcome]. */
+        /** End the command with [outcome], without a write. */
         class End(
             val outcome: CommandOutcome,
         ) : Plan
     }
 
-    /** Who owns what now; null if the store does not answer. */
+    /** Returns the owners of machines, the moves in progress and the drained controllers; null if the store does not respond. */
     suspend fun status(): OwnershipStatus? {
         val replica = readAssignments() ?: return null
         val leaders = readLeaders() ?: return null
@@ -62,16 +62,16 @@
     suspend fun move(
         machine: String,
         target: String,
-    ): CommandOutcome = changeAssignment(machine) { current, shards -> order(machine, current, target, shards) }
+    ): CommandOutcome = changeAssignment(machine) { current, shards -> orderMove(machine, current, target, shards) }
 
-    private fun order(
+    private fun orderMove(
         machine: String,
         current: Assignment?,
         target: String,
         shards: Shards,
     ): AssignmentTransition {
         val untraced = Handover.order(current, target, shards)
-        // Only an order that is not refused begins a trace.
+        // A trace starts only if the move is permitted.
         if (current == null || untraced is AssignmentTransition.Refused) return untraced
         return Handover.order(current, target, shards, tracer.ordered(machine, current.owner, target))
     }
@@ -79,20 +79,20 @@
     /** Cancels the move of [machine]. */
     suspend fun cancel(machine: String): CommandOutcome = changeAssignment(machine) { current, _ -> Handover.cancel(current) }
 
-    /** Has [controller] transfer its shards to others, and campaign for none while others do. */
+    /** Drains [controller]: it transfers its shards to other controllers and campaigns only if no other controller does. */
     suspend fun drain(controller: String): CommandOutcome = changeDrained { it.drain(controller, controllers) }
 
-    /** Lets [controller] lead shards again. */
+    /** Ends the drain of [controller], so that it campaigns for shards as before. */
     suspend fun resume(controller: String): CommandOutcome = changeDrained { it.resume(controller) }
 
-    /** Ends sharding: one controller may lead all machines again. Only while no shard is led and no job is unfinished. */
+    /** Ends sharding, so that one controller can lead all machines. Refused while a shard is led or a job is unfinished. */
     suspend fun endSharding(): CommandOutcome {
         val read = store.get(LeaderKeys().leader) as? StoreResult.Ok ?: return CommandOutcome.Unavailable
         val marker = read.value?.takeIf(ShardingActivation::isMarker) ?: return CommandOutcome.Refused(CommandRefusal.NotSharded)
         return reasonNotToEndSharding() ?: deleteMarker(marker)
     }
 
-    /** The outcome of the command if sharding cannot end; null if it can. */
+    /** The outcome of [endSharding] if sharding cannot end now; null if it can. */
     private suspend fun reasonNotToEndSharding(): CommandOutcome? {
         val leaders = readLeaders() ?: return CommandOutcome.Unavailable
         val leader = leaders.values.firstOrNull()
@@ -142,7 +142,7 @@
 
     private fun refused(refusal: CommandRefusal) = Plan.End(CommandOutcome.Refused(refusal))
 
-    /** Carries out what [plan] says, and asks it again while its record changes meanwhile. */
+    /** Calls [plan] and carries out its result; repeats both, up to [MAX_TRIES] times, if the record to write has changed since it was read. */
     private suspend fun write(plan: suspend () -> Plan): CommandOutcome {
         repeat(MAX_TRIES) {
             val outcome =
@@ -155,7 +155,7 @@
         return CommandOutcome.Unavailable
     }
 
-    /** The outcome of the command; null if the record has changed meanwhile. */
+    /** The outcome of the command; null if the record has changed since it was read. */
     private suspend fun tryWrite(write: Plan.Write): CommandOutcome? {
         val result = store.txn(listOf(Precondition(write.key, write.revision)), listOf(KeyWrite.Put(write.key, write.value)))
         return when {
@@ -165,9 +165,9 @@
         }
     }
 
-    private suspend fun readAssignments(): AssignmentReplica? = AssignmentReplica(store).takeIf { it.current() }
+    private suspend fun readAssignments(): AssignmentReplica? = AssignmentReplica(store).takeIf { it.refresh() }
 
-    /** The controllers that lead, by shard; null if the store does not answer. */
+    /** The controllers that lead, by shard; null if the store does not respond. */
     private suspend fun readLeaders(): Map<String, String>? {
         val leaders = HashMap<String, String>()
         for (shard in settings.shards) {
@@ -179,7 +179,7 @@
     }
 
     private companion object {
-        /** Tries of a command whose record changes meanwhile. */
+        /** The number of times that a command is tried if the record it changes is modified concurrently. */
         const val MAX_TRIES = 5
 
         /** The field of a leader record that names the controller. */
--- a/src/main/kotlin/mintfield/app/sharding/OwnershipStatus.kt
+++ b/src/main/kotlin/mintfield/app/sharding/OwnershipStatus.kt
@@ -2,19 +2,19 @@
 
 import mintfield.core.ownership.Assignment
 
-/** What operators are shown of the machines, their owners and the controllers that are drained. */
+/** The state shown by `machines show`: the shards, the machine moves in progress and the drained controllers. */
 class OwnershipStatus(
     val shards: List<ShardSummary>,
-    /** The machines that are moving, with their assignments. */
+    /** The assignments of machines with a move in progress, by machine. */
     val moves: Map<String, Assignment>,
-    /** The controllers that are drained. */
+    /** The names of the drained controllers. */
     val drained: Set<String>,
 ) {
     /** The names of the shards that [controller] leads. */
-    fun ledBy(controller: String): List<String> = shards.filter { it.leader == controller }.map { it.name }
+    fun shardsLedBy(controller: String): List<String> = shards.filter { it.leader == controller }.map { it.name }
 }
 
-/** A shard as operators see it: the controller that leads it, null if there is none, and its machines. */
+/** One shard: the names of its leading controller, null if it has no leader, and of the machines that it owns. */
 data class ShardSummary(
     val name: String,
     val leader: String?,
--- a/src/main/kotlin/mintfield/app/sharding/RemoteTaskFollower.kt
+++ b/src/main/kotlin/mintfield/app/sharding/RemoteTaskFollower.kt
@@ -7,42 +7,42 @@
 import mintfield.core.ownership.RemoteTaskTracker
 import mintfield.io.loop.EventLoop
 
-/** Carries the queries of [tracker] to the leaders of the shards that own the machines, and their answers back. */
+/** Sends the due queries of [tracker] to the leaders of the shards that own the machines, and passes the responses back to [tracker]. */
 internal class RemoteTaskFollower(
     private val context: ShardingContext,
     private val loop: EventLoop,
     private val tracker: RemoteTaskTracker,
     private val client: ForeignTaskClient,
 ) {
-    /** Asks while [leader] may act, until cancelled. */
+    /** Sends due queries at intervals while [leader] may act, until cancelled. */
     suspend fun run(leader: Leader) {
         while (true) {
             delay(ShardingConstants.ASSIGNMENT_INTERVAL_MS)
-            if (leader.mayAct() && askDueQueries()) leader.wake()
+            if (leader.mayAct() && sendDueQueries()) leader.wake()
         }
     }
 
-    /** Returns whether any query was due. */
-    private suspend fun askDueQueries(): Boolean {
-        val queriesByOwner = tracker.dueQueries(loop.nowMs()).groupBy { context.shardFor(it.machine) }
+    /** Sends all due queries; returns whether there were any. */
+    private suspend fun sendDueQueries(): Boolean {
+        val queriesByOwner = tracker.dueQueries(loop.nowMs()).groupBy { context.servingShardOf(it.machine) }
         for ((owner, queries) in queriesByOwner) {
-            if (owner != null) queries.chunked(MAX_QUERIES_PER_MESSAGE).forEach { ask(owner, it) }
+            if (owner != null) queries.chunked(MAX_QUERIES_PER_MESSAGE).forEach { send(owner, it) }
         }
         return queriesByOwner.isNotEmpty()
     }
 
-    private suspend fun ask(
+    private suspend fun send(
         owner: String,
         queries: List<ForeignTaskQuery>,
     ) {
-        val answers = client.ask(owner, queries) ?: return
-        // Answers belong to queries by position, so any other number of them cannot be assigned.
-        if (answers.size != queries.size) return
-        queries.zip(answers).forEach { (query, answer) -> tracker.applyResponse(query, answer, loop.nowMs()) }
+        val responses = client.query(owner, queries) ?: return
+        // Responses match queries by position, so a list of another length cannot be matched.
+        if (responses.size != queries.size) return
+        queries.zip(responses).forEach { (query, response) -> tracker.applyResponse(query, response, loop.nowMs()) }
     }
 
     private companion object {
-        /** Machines asked about in one message, which keeps it within the limit on request bodies. */
+        /** Maximum number of queries in one message, so that it stays within the size limit of request bodies. */
         const val MAX_QUERIES_PER_MESSAGE = 50
     }
 }
--- a/src/main/kotlin/mintfield/app/sharding/ReportedShardLoads.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ReportedShardLoads.kt
@@ -7,7 +7,7 @@
 import mintfield.core.ownership.ShardSettings
 import mintfield.core.ownership.ShardingSettings
 
-/** The last load that the leader of each shard reported; each counts for a few seconds. */
+/** The last load that the leader of each shard reported. A load is valid for [ShardingConstants.LOAD_TIMEOUT_MS]. */
 internal class ReportedShardLoads(
     private val settings: ShardingSettings,
     private val table: AssignmentTable,
@@ -20,8 +20,8 @@
 
     private val reports = HashMap<String, Report>()
 
-    /** The leader of [shard] reports [load]. */
-    fun reported(
+    /** Records [load], as reported now by the leader of [shard]. */
+    fun record(
         shard: String,
         load: ShardLoad,
     ) {
@@ -31,7 +31,7 @@
     override fun load(shard: String): ShardLoad? {
         val report = reports[shard]?.takeIf { nowMs() - it.atMs < ShardingConstants.LOAD_TIMEOUT_MS } ?: return null
         val mayGrow = table.count(shard) < (settings.shard(shard)?.ceiling ?: 0)
-        // A shard at its ceiling may get no more machines, so it counts as short of none.
+        // A shard at its ceiling must not receive machines, so its shortage is ignored.
         return if (mayGrow) report.load else report.load.copy(shortCpus = 0.0, shortOf = emptySet())
     }
 
--- a/src/main/kotlin/mintfield/app/sharding/ShardElection.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardElection.kt
@@ -2,12 +2,12 @@
 
 import mintfield.core.ownership.ShardSettings
 
-/** What the election of a shard's leader needs besides what that of an only leader does. */
+/** The parts of a leader election that exist only with sharding. */
 class ShardElection(
     val shard: ShardSettings,
     val activation: ShardingActivation,
-    /** Milliseconds to wait now before a campaign for the shard. */
+    /** Returns the milliseconds to wait before a campaign for the shard, given the current state of peers. */
     val campaignDelayMs: () -> Long,
-    /** Called once for each term: makes what its leader needs for the shard. */
+    /** Creates the shard-related state of a new leader; called once in each term. */
     val newLeadership: () -> ShardLeadership,
 )
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeader.kt
@@ -11,7 +11,7 @@
 import mintfield.core.ownership.ShardLoad
 import mintfield.io.loop.EventLoop
 
-/** What the leader of a shard does besides what an only leader does: it takes part in moves of machines. Runs on the event loop. */
+/** The part of a leader that exists only with sharding: moves of machines and tasks that cross shards. Not thread-safe: event loop only. */
 class ShardLeader internal constructor(
     private val context: ShardingContext,
     private val loop: EventLoop,
@@ -21,20 +21,20 @@
     private val assignmentWriter: AssignmentWriter,
     private val remoteTaskFollower: RemoteTaskFollower,
 ) {
-    /** The load of the shard; null while its jobs are not loaded yet. */
+    /** Returns the load of the shard; null until its jobs are loaded. */
     fun load(): ShardLoad? = if (scheduler.loaded) meter.measure() else null
 
-    /** Answers the leader of another shard about its tasks on machines of this one, in the order of [queries]. */
-    fun answer(queries: List<ForeignTaskQuery>): List<ForeignTaskResponse> = queries.map { responder.respond(it, loop.nowMs()) }
+    /** Returns the responses to [queries] of another shard's leader about its tasks on machines of this shard, in the same order. */
+    fun respond(queries: List<ForeignTaskQuery>): List<ForeignTaskResponse> = queries.map { responder.respond(it, loop.nowMs()) }
 
-    /** Reads the assignments as they are now or later, until the store answers: a new leader acts on nothing older than its election. */
+    /** Brings the replica of the assignments up to date, with retries until the store responds. A new leader must not act on older assignments. */
     suspend fun readAssignments() {
-        while (!context.assignments.current()) delay(StoreConstants.STORE_RETRY_MS)
+        while (!context.assignments.refresh()) delay(StoreConstants.STORE_RETRY_MS)
     }
 
-    /** Changes assignments while [leader] may act, until cancelled. */
+    /** Writes due changes of assignments while [leader] may act, until cancelled. */
     suspend fun changeAssignments(leader: Leader) = assignmentWriter.run(leader)
 
-    /** Asks what becomes of the tasks on other shards' machines while [leader] may act, until cancelled. */
+    /** Queries the state of this shard's tasks on machines of other shards while [leader] may act, until cancelled. */
     suspend fun followRemoteTasks(leader: Leader) = remoteTaskFollower.run(leader)
 }
--- a/src/main/kotlin/mintfield/app/sharding/ShardLeadership.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardLeadership.kt
@@ -13,7 +13,7 @@
 import mintfield.io.loop.Log
 import mintfield.io.store.StoreClient
 
-/** One term of leadership of [shard]: the ownership that its scheduler needs, and the [ShardLeader] that needs the scheduler. */
+/** One term of leadership of [shard]. Holds the ownership, which the scheduler needs, and creates the [ShardLeader], which needs the scheduler. */
 class ShardLeadership(
     private val context: ShardingContext,
     val shard: ShardSettings,
@@ -21,11 +21,11 @@
     private val store: StoreClient,
     private val foreignTasks: ForeignTaskClient,
 ) {
-    /** The machines that the leader acts for. */
+    /** The machines that the leader manages in its term. */
     val ownership = ShardOwnership(shard.name, context.table, shard.floor, shard.ceiling) { context.foreignSpec(shard, it) }
 
-    /** The part of the leader that deals with the shard; to be called once, with the [scheduler] of the term. */
-    fun leader(scheduler: Scheduler): ShardLeader {
+    /** Creates the [ShardLeader] of the term. Must be called once, with the [scheduler] of the term. */
+    fun createLeader(scheduler: Scheduler): ShardLeader {
         val agent = handoverAgent(scheduler)
         return ShardLeader(
             context,
--- a/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
@@ -7,13 +7,13 @@
 import mintfield.core.ownership.ShardSuccession
 import mintfield.io.loop.EventLoop
 
-/** Transfers shards that another controller should lead: their home, or any other if this controller is drained. */
+/** Transfers leadership of shards that another controller should lead: a shard's home, or any other controller if this one is drained. */
 class ShardTransfers(
     private val loop: EventLoop,
     private val elections: LeaderElections,
     private val succession: ShardSuccession,
 ) {
-    /** Checks about once a second, until cancelled. */
+    /** Checks for due transfers every [PeerConstants.HEALTH_CHECK_MS], until cancelled. */
     suspend fun run() {
         while (true) {
             delay(PeerConstants.HEALTH_CHECK_MS)
--- a/src/main/kotlin/mintfield/app/sharding/ShardingContext.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardingContext.kt
@@ -12,13 +12,13 @@
 import mintfield.core.ownership.Shards
 import mintfield.io.store.StoreClient
 
-/** What all shard leaders of this controller have in common: the settings, the assignments, the loads of the shards. */
+/** State shared by all shard leaders of this controller: the settings, the assignments and the loads of the shards. */
 class ShardingContext(
     val settings: ShardingSettings,
     store: StoreClient,
-    /** The specification of an unfinished job. */
+    /** Returns the specification of the unfinished job with the given id; null if there is no such job. */
     private val spec: (String) -> JobSpec?,
-    /** The controller that leads a shard, as far as is known here. */
+    /** Returns the controller that leads the named shard, as far as is known here; null if none is known. */
     leaderOf: (String) -> String?,
     nowMs: () -> Long,
     val tracer: MoveTracer = MoveTracer.Off,
@@ -29,16 +29,16 @@
     /** The replica of the assignments. */
     val table: AssignmentTable get() = assignments.table
 
-    /** The shards, with their machines as the replica shows them. */
+    /** The configured shards, with their machines and leaders as far as is known here. */
     val shards: Shards = ConfiguredShards(settings, table) { leaderOf(it) != null }
 
     private val reportedLoads = ReportedShardLoads(settings, table, nowMs)
 
-    /** The loads that the leaders of the shards have reported. */
+    /** The loads reported by the leaders of the shards. */
     val loads: ShardLoads get() = reportedLoads
 
-    /** The shard whose leader answers heartbeats of [machine], or is about to; null if the machine has no owner. */
-    fun shardFor(machine: String): String? =
+    /** The shard whose leader responds to heartbeats of [machine]: its owner, or the target once the machine is offered; null if it has no owner. */
+    fun servingShardOf(machine: String): String? =
         when (val assignment = table.assignment(machine)) {
             null -> null
             is Assignment.Offered -> assignment.target
@@ -51,15 +51,15 @@
         spec: JobSpec,
     ) = settings.ofTeam(spec.team)?.name == shard.name
 
-    /** The specification of an unfinished job that the leader of another shard than [shard] schedules; null if there is no such job. */
+    /** The specification of the unfinished [job] if the leader of a shard other than [shard] schedules it; null otherwise. */
     fun foreignSpec(
         shard: ShardSettings,
         job: String,
     ): JobSpec? = spec(job)?.takeIf { !schedules(shard, it) }
 
-    /** The leader of [shard], here or at a peer, reports its load. */
-    fun loadReported(
+    /** Records the [load] that the leader of [shard], in this process or at a peer, has reported. */
+    fun recordLoad(
         shard: String,
         load: ShardLoad,
-    ) = reportedLoads.reported(shard, load)
+    ) = reportedLoads.record(shard, load)
 }
--- a/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
+++ b/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
@@ -16,11 +16,10 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * A key-value store that speaks the protocol of the state service over a map in memory: revisions, preconditions, leases and watches.
- * The training run of the class-data archive and the tests use it. It enforces no rates, and every lease that is renewed gets the same
- * time.
+ * An in-memory implementation of the state service's protocol: revisions, preconditions, leases and watches. Used by the training run for
+ * the class-data archive and by tests. It enforces no request rates, and every renewal of a lease grants the same time.
  *
- * To be called on [loop] only, except [plant]; the settings of faults may be changed from any thread.
+ * Must be called on [loop] only, except [forcePut]; the properties that inject faults may be set from any thread.
  */
 class InMemoryStateService(
     private val loop: EventLoop,
@@ -31,39 +30,40 @@
         val lease: Long?,
     )
 
-    /** One change as watches tell it; null [data] is a deletion. */
-    private class Logged(
+    /** One change as delivered to watches; null [data] is a deletion. */
+    private class LoggedChange(
         val revision: Long,
         val key: String,
         val data: Any?,
     )
 
     private val items = TreeMap<String, Item>()
-    private val log = ArrayList<Logged>()
+    private val log = ArrayList<LoggedChange>()
     private val leases = HashMap<Long, Long>()
     private var revision = 1L
     private var nextLease = 1L
     private var changed = CompletableDeferred<Unit>()
 
-    /** Notified of each change: the key, its new value or null, and the revision. Called on the loop. */
+    /** Called on [loop] for each change with the key, its new value, null for a deletion, and the revision. */
     @Volatile var onChange: (String, Any?, Long) -> Unit = { _, _, _ -> }
 
-    /** Refuses everything, as in an outage. */
+    /** Whether every request is refused, as in an outage. */
     @Volatile var down = false
 
-    /** Gives no answer at all, as behind a network partition. */
+    /** Whether requests are held without a response, as behind a network partition. */
     @Volatile var unresponsive = false
 
-    /** Submissions that one transaction may hold; a larger one is refused as too many. */
-    @Volatile var mostSubmissions = Int.MAX_VALUE
+    /** Maximum number of submissions in a transaction; a larger transaction is refused with status 429. */
+    @Volatile var maxSubmissions = Int.MAX_VALUE
 
-    /** Bytes of a value and writes of a transaction that are permitted; a larger one is called malformed. */
-    @Volatile var mostValueBytes = Int.MAX_VALUE
+    /** Maximum size of a value in bytes; a transaction with a larger value is refused with status 400. */
+    @Volatile var maxValueBytes = Int.MAX_VALUE
 
-    @Volatile var mostWrites = Int.MAX_VALUE
+    /** Maximum number of writes in a transaction; a larger transaction is refused with status 400. */
+    @Volatile var maxWrites = Int.MAX_VALUE
 
-    /** Puts [json] under [key], whatever the rules. */
-    fun plant(
+    /** Stores [json] under [key] without preconditions, limits or a lease. Blocks, so it must not be called on [loop]. */
+    fun forcePut(
         key: String,
         json: String,
     ) {
@@ -75,14 +75,14 @@
         done.await()
     }
 
-    /** The lease that [key] hangs on, or null. To be called on the loop. */
+    /** The lease that [key] is attached to; null if it has none or does not exist. Must be called on [loop]. */
     fun leaseOf(key: String): Long? = items[key]?.lease
 
-    /** Answers one request. */
+    /** Handles one request; suspends while [unresponsive] is set. */
     suspend fun handle(request: HttpMessage): Response {
         expire()
         if (down) return Response.error(HttpStatus.SERVICE_UNAVAILABLE, "trouble")
-        while (unresponsive) delay(UNRESPONSIVE_STEP_MS)
+        while (unresponsive) delay(UNRESPONSIVE_POLL_MS)
         val path = request.path.substringBefore('?')
         val query =
             request.path
@@ -96,12 +96,12 @@
                 leases[nextLease] = loop.nowMs() + Json.parseObject(request.body)!!.long("lifeMs")!!
                 ok("""{"tenancy":${nextLease++}}""")
             }
-            path.startsWith("/leases/") -> lease(request.method, path.split('/')[2].toLong())
+            path.startsWith("/leases/") -> renewOrEndLease(request.method, path.split('/')[2].toLong())
             path == "/store" -> list(query)
             else -> {
                 val key = path.removePrefix("/store/")
                 val item = items[key] ?: return Response(HttpStatus.NOT_FOUND, """{"ledger":$revision}""".toByteArray())
-                ok("""{"k":"$key","data":${text(item.data)},"mark":${item.revision},"tenancy":${item.lease}}""")
+                ok("""{"k":"$key","data":${toJson(item.data)},"mark":${item.revision},"tenancy":${item.lease}}""")
             }
         }
     }
@@ -114,10 +114,10 @@
             .filter { it.value < now }
             .keys
             .toList()
-            .forEach(::end)
+            .forEach(::endLease)
     }
 
-    private fun end(lease: Long) {
+    private fun endLease(lease: Long) {
         leases.remove(lease)
         items
             .filter { it.value.lease == lease }
@@ -126,12 +126,12 @@
             .forEach { change(it, null, null, ++revision) }
     }
 
-    private fun lease(
+    private fun renewOrEndLease(
         method: String,
         id: Long,
     ): Response {
         if (id !in leases) return Response.error(HttpStatus.NOT_FOUND, "no such lease")
-        if (method == "DELETE") end(id) else leases[id] = loop.nowMs() + RENEWED_MS
+        if (method == "DELETE") endLease(id) else leases[id] = loop.nowMs() + RENEWED_LEASE_MS
         return ok("{}")
     }
 
@@ -142,7 +142,7 @@
         at: Long,
     ) {
         if (data == null) items.remove(key) else items[key] = Item(data, at, lease)
-        log.add(Logged(at, key, data))
+        log.add(LoggedChange(at, key, data))
         onChange(key, data, at)
         changed.complete(Unit)
         changed = CompletableDeferred()
@@ -169,41 +169,41 @@
         return ok("""{"ledger":$revision}""")
     }
 
-    /** Why a transaction with these [writes] is not executed; null if it is. */
+    /** The error response to a transaction with [writes] that break a rule; null if it may be executed. */
     private fun refusal(writes: List<Map<String, Any?>>): Response? {
         val keys = writes.map { it.string("write") ?: it.string("delete") }
         val malformed =
             when {
                 keys.toSet().size < keys.size -> "a key is written twice"
-                writes.size > mostWrites -> "too many writes"
-                writes.any { text(it["data"]).length > mostValueBytes } -> "a value is too large"
+                writes.size > maxWrites -> "too many writes"
+                writes.any { toJson(it["data"]).length > maxValueBytes } -> "a value is too large"
                 writes.any { write -> write.long("tenancy")?.let { it !in leases } == true } -> "no such lease"
                 else -> null
             }
         if (malformed != null) return Response.error(HttpStatus.BAD_REQUEST, malformed)
         val submissions = writes.count { "/l/" in it.string("write").orEmpty() }
-        return if (submissions > mostSubmissions) Response.error(HttpStatus.TOO_MANY_REQUESTS, "too many") else null
+        return if (submissions > maxSubmissions) Response.error(HttpStatus.TOO_MANY_REQUESTS, "too many") else null
     }
 
     private suspend fun watch(query: Map<String, String>): Response {
         val after = query.getValue("after").toLong()
         val prefix = query.getValue("starts")
 
-        fun news(): List<Logged> {
+        fun newChanges(): List<LoggedChange> {
             val found = log.binarySearch { if (it.revision <= after) -1 else 1 }
             return log.subList(-found - 1, log.size).filter { it.key.startsWith(prefix) }
         }
         withTimeoutOrNull(query.getValue("waitMs").toLong()) {
-            while (news().isEmpty()) withTimeoutOrNull(LEASE_CHECK_MS) { changed.await() } ?: expire()
+            while (newChanges().isEmpty()) withTimeoutOrNull(LEASE_CHECK_MS) { changed.await() } ?: expire()
         }
         val entries =
-            news().joinToString(",") {
+            newChanges().joinToString(",") {
                 if (it.data ==
                     null
                 ) {
                     """{"delete":"${it.key}","mark":${it.revision}}"""
                 } else {
-                    """{"write":"${it.key}","data":${text(it.data)},"mark":${it.revision}}"""
+                    """{"write":"${it.key}","data":${toJson(it.data)},"mark":${it.revision}}"""
                 }
             }
         return ok("""{"ledger":$revision,"log":[$entries]}""")
@@ -212,22 +212,22 @@
     private fun list(query: Map<String, String>): Response {
         val found = items.entries.filter { it.key.startsWith(query.getValue("starts")) && it.key > (query["after"] ?: "") }
         val page = found.take(query.getValue("most").toInt())
-        val entries = page.joinToString(",") { """{"k":"${it.key}","data":${text(it.value.data)},"mark":${it.value.revision}}""" }
+        val entries = page.joinToString(",") { """{"k":"${it.key}","data":${toJson(it.value.data)},"mark":${it.value.revision}}""" }
         return ok("""{"entries":[$entries],"hasNext":${found.size > page.size},"ledger":$revision}""")
     }
 
-    private fun text(value: Any?): String =
+    private fun toJson(value: Any?): String =
         when (value) {
-            is Map<*, *> -> value.entries.joinToString(",", "{", "}") { "\"${it.key}\":${text(it.value)}" }
-            is List<*> -> value.joinToString(",", "[", "]") { text(it) }
+            is Map<*, *> -> value.entries.joinToString(",", "{", "}") { "\"${it.key}\":${toJson(it.value)}" }
+            is List<*> -> value.joinToString(",", "[", "]") { toJson(it) }
             is String -> "\"$value\""
             else -> value.toString()
         }
 
     private companion object {
-        /** Milliseconds that any renewed lease gets; the only lease renewed is the leader's. */
-        const val RENEWED_MS = 3_500L
-        const val UNRESPONSIVE_STEP_MS = 50L
+        /** The time that each renewal grants to a lease. One value suffices, since only the leader's lease is renewed. */
+        const val RENEWED_LEASE_MS = 3_500L
+        const val UNRESPONSIVE_POLL_MS = 50L
         const val LEASE_CHECK_MS = 200L
     }
 }
--- a/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
@@ -18,9 +18,9 @@
 import java.nio.channels.AsynchronousChannelGroup
 
 /**
- * The training run for the build's class-data archive: two controllers on loopback elect a leader, serve users and a worker,
- * and one of them is replaced by a process that replays. What this run does not reach is loaded from the jar at run time, which
- * on a small controller costs milliseconds for each class, most of them in a failover.
+ * The training run for the build's class-data archive: two controllers on loopback elect a leader and serve users and a worker. Then both
+ * are replaced, and the successor that becomes leader replays the stored state. Classes that the run does not use are loaded from the jar at
+ * run time, which takes milliseconds for each class on a small controller, mostly during a failover.
  */
 class WarmUp {
     private val loop = EventLoop()
@@ -30,13 +30,13 @@
     private val worker = WarmUpWorker()
     private val ports = List(PORTS) { ServerSocket(0).use { it.localPort } }
 
-    /** Runs to its end, in some seconds; the caller ends the process. */
+    /** Blocks for some seconds until the run is complete. Leaves the successors running, so the caller must end the process. */
     fun run() {
         loop.start()
         loop.post {
-            serve(ports[STORE]) { store.handle(it) }
-            serve(ports[CLOUD]) { cloud(it) }
-            serve(ports[WORKER]) { worker.commands(it) }
+            startServer(ports[STORE]) { store.handle(it) }
+            startServer(ports[CLOUD]) { cloud(it) }
+            startServer(ports[WORKER]) { worker.handleCommands(it) }
         }
         val first = start(FIRST)
         val second = start(SECOND)
@@ -44,18 +44,18 @@
         Thread.sleep(SERVE_MS)
         first.stop()
         second.stop()
-        // The successors find the leader key, the jobs and the rounds of the processes before them.
+        // The successors find the leader key, the jobs and the rounds of their predecessors.
         start(FIRST)
         start(SECOND)
         Thread.sleep(FAILOVER_MS)
     }
 
-    private fun serve(
+    private fun startServer(
         port: Int,
         handler: suspend (HttpMessage) -> Response,
-    ) = HttpServer(loop, scope, group, CONNECTIONS, handler).start(InetSocketAddress(LOOPBACK, port))
+    ) = HttpServer(loop, scope, group, MAX_CONNECTIONS, handler).start(InetSocketAddress(LOOPBACK, port))
 
-    private fun start(controller: TrainedController): Controller {
+    private fun start(controller: WarmUpController): Controller {
         val file = File.createTempFile("mintfield", ".toml")
         file.deleteOnExit()
         file.writeText(settings(controller))
@@ -71,7 +71,7 @@
         for (controller in listOf(FIRST, SECOND)) {
             val client = client(controller)
             call(client, "GET", "/ready")
-            for ((id, tasks) in JOBS) call(client, "POST", "/v1/jobs", job(id, tasks))
+            for ((id, tasks) in TASKS_BY_JOB) call(client, "POST", "/v1/jobs", jobJson(id, tasks))
             call(client, "GET", "/v1/jobs/wk-000001")
             call(client, "GET", "/v1/jobs/wk-999999")
             call(client, "POST", "/v1/jobs/wk-000002/abort")
@@ -81,46 +81,46 @@
         }
     }
 
-    /** Reports as a worker sends them; the controller that does not lead relays them. */
-    private suspend fun heartbeats(controller: TrainedController) {
+    /** Sends heartbeats as a worker does. The controller that does not lead relays them to the leader. */
+    private suspend fun heartbeats(controller: WarmUpController) {
         val client = client(controller)
         while (true) {
-            val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_MS)
+            val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_TIMEOUT_MS)
             if (reply is Reply.Answer && reply.status == HttpStatus.OK) worker.execute(reply.json)
-            delay(HEARTBEAT_MS)
+            delay(HEARTBEAT_INTERVAL_MS)
         }
     }
 
-    private fun client(controller: TrainedController) = HttpClient(loop, group, InetSocketAddress(LOOPBACK, ports[controller.clientPort]), 1)
+    private fun client(controller: WarmUpController) = HttpClient(loop, group, InetSocketAddress(LOOPBACK, ports[controller.clientPort]), 1)
 
     private suspend fun call(
         client: HttpClient,
         method: String,
         path: String,
         body: String? = null,
-    ) = client.call(method, path, body?.toByteArray(), CALL_MS)
+    ) = client.call(method, path, body?.toByteArray(), CALL_TIMEOUT_MS)
 
     private fun cloud(request: HttpMessage): Response {
         val path = request.path.substringBefore('?')
         return when {
-            path == "/machine_types" -> Response(HttpStatus.OK, TYPES.toByteArray())
-            path == "/rentals" && request.method == "GET" -> Response(HttpStatus.OK, """{"plots":[${listed()}],"hasNext":false}""".toByteArray())
+            path == "/machine_types" -> Response(HttpStatus.OK, MACHINE_TYPES.toByteArray())
+            path == "/rentals" && request.method == "GET" -> Response(HttpStatus.OK, """{"plots":[${machineJson()}],"hasNext":false}""".toByteArray())
             path == "/rentals" -> Response.error(HttpStatus.SERVICE_UNAVAILABLE, "no capacity")
             else -> Response(HttpStatus.OK, "{}".toByteArray())
         }
     }
 
-    private fun listed() =
+    private fun machineJson() =
         """{"id":"${WarmUpWorker.MACHINE}","address":"$LOOPBACK:${ports[WORKER]}","breed":"box","field":"a","gleaning":false,
         "stage":"running","heldS":9.5}"""
 
-    private class TrainedController(
+    private class WarmUpController(
         val name: String,
         val clientPort: Int,
         val peerPort: Int,
     )
 
-    private fun settings(controller: TrainedController): String {
+    private fun settings(controller: WarmUpController): String {
         val peer = if (controller === FIRST) SECOND else FIRST
         return """
         member = "${controller.name}"
@@ -140,32 +140,38 @@
 
     private companion object {
         const val LOOPBACK = "127.0.0.1"
-        const val CONNECTIONS = 64
+        const val MAX_CONNECTIONS = 64
 
-        /** Indices of the ports in use. */
+        /** Indices in the list of ports. */
         const val STORE = 0
         const val CLOUD = 1
         const val WORKER = 2
         const val PORTS = 7
-        val FIRST = TrainedController("a", 3, 4)
-        val SECOND = TrainedController("b", 5, 6)
+        val FIRST = WarmUpController("a", 3, 4)
+        val SECOND = WarmUpController("b", 5, 6)
 
-        /** Milliseconds: an election, a poll, a call's patience, between heartbeats, and the two parts of the run. */
+        /** The wait for the first election, after which requests are sent. */
         const val ELECTION_MS = 800L
+
+        /** The wait before the states of jobs are polled. */
         const val POLL_MS = 400L
-        const val CALL_MS = 900L
-        const val HEARTBEAT_MS = 150L
+        const val CALL_TIMEOUT_MS = 900L
+        const val HEARTBEAT_INTERVAL_MS = 150L
+
+        /** The duration of the run with the first two controllers. */
         const val SERVE_MS = 4_000L
+
+        /** The duration of the run with their successors. */
         const val FAILOVER_MS = 3_500L
 
-        const val TYPES =
+        const val MACHINE_TYPES =
             """{"breeds":[{"sku":"box","vcpus":8.0,"cards":0.0,"memoryGb":64.0,"cacheGb":50.0,"fetchGbPerS":1.0,"price":1.0,
             "lowPrice":0.3,"bootS":30.0,"fields":["a"]}]}"""
 
-        /** Jobs by number: the last is too large to end before the failover. */
-        val JOBS = mapOf("wk-000001" to 12, "wk-000002" to 12, "wk-000003" to 900)
+        /** The number of tasks of each job, by its id. The last job is too large to end before the failover. */
+        val TASKS_BY_JOB = mapOf("wk-000001" to 12, "wk-000002" to 12, "wk-000003" to 900)
 
-        fun job(
+        fun jobJson(
             id: String,
             tasks: Int,
         ) = """{"id":"$id","bench":"c","crew":"t","shape":"sweep","urgency":"normal","pieces":$tasks,"vcpus":1.0,"cards":0.0,
--- a/src/main/kotlin/mintfield/app/warmup/WarmUpWorker.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUpWorker.kt
@@ -9,7 +9,7 @@
 import mintfield.io.json.long
 import mintfield.io.json.string
 
-/** A worker that speaks the protocol and whose tasks end after some heartbeats, enough to drive every step of a job. */
+/** A simulated worker that speaks the wire protocol. Its tasks end after a few heartbeats, so that jobs pass through all their phases. */
 internal class WarmUpWorker {
     private class Task(
         val id: String,
@@ -22,22 +22,22 @@
     private var termSeen = 0L
     private val tasks = LinkedHashMap<String, Task>()
 
-    /** Takes the token of a response and carries out its commands. */
-    fun execute(answer: Map<String, Any?>) {
-        termSeen = maxOf(termSeen, answer.long("staff") ?: 0)
-        for (command in answer["orders"].asList().orEmpty().mapNotNull { it.asMap() }) {
+    /** Records the fencing token of [response] and carries out its commands. */
+    fun execute(response: Map<String, Any?>) {
+        termSeen = maxOf(termSeen, response.long("staff") ?: 0)
+        for (command in response["orders"].asList().orEmpty().mapNotNull { it.asMap() }) {
             val id = command.string("piece") ?: continue
             if (command.string("verb") == "run") tasks[id] = Task(id, command.long("sowing") ?: 0) else tasks.remove(id)
         }
     }
 
-    /** Answers a direct command. */
-    fun commands(request: HttpMessage): Response {
+    /** Handles commands that a controller sends to the worker; the response is a heartbeat. */
+    fun handleCommands(request: HttpMessage): Response {
         execute(Json.parseObject(request.body).orEmpty())
         return Response(HttpStatus.OK, heartbeat(0))
     }
 
-    /** The next heartbeat; [port] is that of its own address. */
+    /** Encodes the next heartbeat, which gives [port] as the port of the worker's address. */
     fun heartbeat(port: Int): ByteArray {
         sequence++
         return Json.obj {
@@ -55,8 +55,8 @@
                 writeStartObject()
                 writeStringField("piece", task.id)
                 writeNumberField("sowing", task.attempt)
-                writeStringField("stage", if (++task.heartbeats < ENDS_AFTER) "running" else "ended")
-                if (task.heartbeats >= ENDS_AFTER) writeStringField("cause", "done")
+                writeStringField("stage", if (++task.heartbeats < HEARTBEATS_UNTIL_ENDED) "running" else "ended")
+                if (task.heartbeats >= HEARTBEATS_UNTIL_ENDED) writeStringField("cause", "done")
                 writeEndObject()
             }
             writeEndArray()
@@ -66,7 +66,7 @@
     companion object {
         const val MACHINE = "m-000001"
 
-        /** Heartbeats of a task until it has ended. */
-        private const val ENDS_AFTER = 4
+        /** The heartbeat of a task, counted from 1, that first reports it as ended. */
+        private const val HEARTBEATS_UNTIL_ENDED = 4
     }
 }
