--- a/src/main/kotlin/mintfield/app/ControllerStatus.kt
+++ b/src/main/kotlin/mintfield/app/ControllerStatus.kt
@@ -29,7 +29,7 @@
         val shardLeader = elections.ofShard(shard)?.leader?.shardLeader
         val load = shardLeader?.load() ?: return null
         // The leaders of other shards in this process receive no status message of this controller, so they get the load here.
-        sharding?.loadReported(shard, load)
+        sharding?.recordLoad(shard, load)
         return load
     }
 
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -132,7 +132,7 @@
         if (shardElection != null) {
             // Lets the preferred leader of the shard campaign first, if it is up.
             delay(shardElection.campaignDelayMs())
-            if (!shardElection.activation.ready()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
+            if (!shardElection.activation.ensureActivated()) return seekAgainAfter(ShardingConstants.ACTIVATION_RETRY_MS)
         }
         val sentAtMs = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value ?: return seekAgainAfter(StoreConstants.STORE_RETRY_MS)
@@ -164,7 +164,7 @@
         val preconditions = listOfNotNull(Precondition(keys.leader, 0), shardElection?.activation?.precondition)
         return when (val result = store.txn(preconditions, listOf(put), urgent = true)) {
             is StoreResult.Ok -> {
-                shardElection?.activation?.checkGuard(result.value)
+                shardElection?.activation?.checkMarker(result.value)
                 (result.value as? TxnOutcome.Applied)?.let { Claim.Won(it.revision) } ?: Claim.Lost
             }
             is StoreResult.Refused -> Claim.Lost
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -26,7 +26,7 @@
     fun forHeartbeat(body: ByteArray): LeaderElection? {
         if (sharding == null) return all.single()
         val machine = HeartbeatCodec.decode(body)?.machine ?: return null
-        return sharding.shardFor(machine)?.let(::ofShard)
+        return sharding.servingShardOf(machine)?.let(::ofShard)
     }
 
     /** The terms of the leaders in this process, by the name of the shard, or by [UNSHARDED] if there are no shards. */
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -70,7 +70,7 @@
     private val leaseRenewal = LeaseRenewal(loop, store, tenure, this)
 
     /** Takes part in moves of machines between shards; null if the machines are not divided into shards. */
-    val shardLeader: ShardLeader? = shardLeadership?.leader(scheduler)
+    val shardLeader: ShardLeader? = shardLeadership?.createLeader(scheduler)
 
     private fun isScheduledHere(spec: JobSpec): Boolean {
         val shard = settings.operator.sharding?.ofTeam(spec.team)
