--- a/src/main/kotlin/mintfield/app/Controller.kt
+++ b/src/main/kotlin/mintfield/app/Controller.kt
@@ -69,7 +69,7 @@
 
     private val sharding =
         settings.operator.sharding?.let {
-            ShardingContext(it, services.store, { id -> replicator.live[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracerFactory.create(settings))
+            ShardingContext(it, services.store, { id -> replicator.unfinishedJobs[id]?.spec }, ::leaderOf, loop::nowMs, MoveTracerFactory.create(settings))
         }
     private val activation = ShardingActivation(services.store)
     private val succession = ShardSuccession(settings.member, ObservedPeers()) { sharding?.assignments?.drained.orEmpty() }
@@ -98,16 +98,16 @@
     private val peerServer = PeerServer(health, peerProgress, peerRequests)
 
     private fun createElections(): List<LeaderElection> {
-        val shared = sharding ?: return listOf(LeaderElection(loop, scope, services, replicator, cancellationWatermark) { statusSender.announce() })
-        return shared.settings.shards.map { createElection(shared, it) }
+        val context = sharding ?: return listOf(LeaderElection(loop, scope, services, replicator, cancellationWatermark) { statusSender.announce() })
+        return context.settings.shards.map { createElection(context, it) }
     }
 
     private fun createElection(
-        shared: ShardingContext,
+        context: ShardingContext,
         shard: ShardSettings,
     ): LeaderElection {
         val campaignDelayMs = { succession.campaignDelayMs(shard, elections.leaders.size) }
-        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeadership(shared, shard, loop, services.store, foreignTasks) }
+        val part = ShardElection(shard, activation, campaignDelayMs) { ShardLeadership(context, shard, loop, services.store, foreignTasks) }
         return LeaderElection(loop, scope, services, replicator, cancellationWatermark, part) { statusSender.announce() }
     }
 
@@ -135,8 +135,8 @@
         services.store.onContact = health::storeContact
         replicator.onComplete = cancellationWatermark::storeReadCompleted
         userWrites.onCongestion = elections::yieldToUsers
-        sharding?.let { shared -> launch("assignments") { shared.assignments.follow() } }
-        elections.all.forEach { member -> launch("election ${member.shard?.name.orEmpty()}".trim()) { member.run() } }
+        sharding?.let { context -> launch("assignments") { context.assignments.follow() } }
+        elections.all.forEach { election -> launch("election ${election.shard?.name.orEmpty()}".trim()) { election.run() } }
         if (sharding != null) launch("shard transfers") { ShardTransfers(loop, elections, succession).run() }
         launch("initial reads") { readInitialState() }
         launch("store recovery") { detectStoreRecovery() }
@@ -178,11 +178,11 @@
             services.readTypes()
             if (services.types.isEmpty()) delay(FleetConstants.CLOUD_RETRY_MS)
         }
-        while (!replicator.loaded) if (!replicator.awaitCurrent()) delay(StoreConstants.STORE_RETRY_MS)
+        while (!replicator.isLoaded) if (!replicator.awaitCurrent()) delay(StoreConstants.STORE_RETRY_MS)
         versions.record()
     }
 
-    /** Polls the state service while it is unavailable. User requests are then refused without calling it, so they cannot detect its recovery. */
+    /** Polls the store while it is unavailable. User requests are then refused without calling it, so they cannot detect its recovery. */
     private suspend fun detectStoreRecovery() {
         while (true) {
             delay(StoreConstants.STORE_RETRY_MS * 2)
--- a/src/main/kotlin/mintfield/app/ExternalServices.kt
+++ b/src/main/kotlin/mintfield/app/ExternalServices.kt
@@ -14,7 +14,7 @@
 import mintfield.io.store.StoreClient
 import java.nio.channels.AsynchronousChannelGroup
 
-/** The clients of this controller for the state service, the cloud and the workers, with their rate limits. */
+/** The clients of this controller for the store, the cloud and the workers, with their rate limits. */
 class ExternalServices(
     val settings: Settings,
     private val loop: EventLoop,
@@ -36,7 +36,7 @@
         )
     val metrics = Metrics()
 
-    /** The limits of the state service that this controller currently assumes. */
+    /** The limits of the store that this controller currently assumes. */
     val stateLimits = StateLimitsInForce(settings)
 
     /** The machine types, by name. Empty until [readTypes] has succeeded once. */
--- a/src/main/kotlin/mintfield/app/Readiness.kt
+++ b/src/main/kotlin/mintfield/app/Readiness.kt
@@ -25,7 +25,7 @@
     fun state(): State {
         val isolation = health.isolation
         return when {
-            !replicator.loaded || services.types.isEmpty() -> State.STARTING
+            !replicator.isLoaded || services.types.isEmpty() -> State.STARTING
             isolation.isRefusedAlone(loop.nowMs()) -> State.REFUSED_ALONE
             isolation.isCutOff(loop.nowMs()) -> State.CUT_OFF
             else -> State.READY
--- a/src/main/kotlin/mintfield/app/api/JobAdmission.kt
+++ b/src/main/kotlin/mintfield/app/api/JobAdmission.kt
@@ -10,7 +10,7 @@
 /** Checks whether a submitted job can ever run, regardless of the current load. */
 class JobAdmission(
     private val teams: List<Team>,
-    /** Returns the machine types; empty while they are not known. */
+    /** Returns the machine types; empty until they have been read. */
     private val types: () -> Collection<MachineType>,
 ) {
     /** The result of a check. */
@@ -25,11 +25,11 @@
             val reason: String,
         ) : Result
 
-        /** The machine types are not known yet. */
+        /** The machine types have not been read yet. */
         data object TypesUnknown : Result
     }
 
-    /** Checks [spec] against the known teams, the machine types and the limits of its team. */
+    /** Checks [spec] against the configured teams, the machine types and the limits of its team. */
     fun check(spec: JobSpec): Result {
         val known = types()
         if (known.isEmpty()) return Result.TypesUnknown
--- a/src/main/kotlin/mintfield/app/api/JobProgressView.kt
+++ b/src/main/kotlin/mintfield/app/api/JobProgressView.kt
@@ -9,7 +9,7 @@
 class JobProgressView(
     private val elections: LeaderElections,
     private val peers: PeerProgressTable,
-    /** Whether machines are shared, in which case peers lead some of the jobs even while this controller leads others. */
+    /** Whether machines are divided into shards, in which case peers lead some of the jobs even while this controller leads others. */
     private val sharded: Boolean,
 ) {
     /** The progress of job [id]; null if it is known neither here nor from a peer. */
--- a/src/main/kotlin/mintfield/app/api/JobStatusService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobStatusService.kt
@@ -63,7 +63,7 @@
     ): KnownJob =
         when (val decoded = FinalStateCodec.decode(entry.data)) {
             is Decoded.Valid -> {
-                replicator.ended(id, decoded.value)
+                replicator.onJobEnded(id, decoded.value)
                 KnownJob.Ended(decoded.value)
             }
             is Decoded.Invalid -> {
--- a/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
+++ b/src/main/kotlin/mintfield/app/api/JobSubmissionService.kt
@@ -144,7 +144,7 @@
     private suspend fun acceptCancelled(id: String): Response {
         val cancelled = FinalState(JobPhase.CANCELLED, doneTasks = 0, System.currentTimeMillis())
         return write(id, KeyWrite.Put(Keys.final(id), FinalStateCodec.encode(cancelled))) {
-            replicator.ended(id, cancelled)
+            replicator.onJobEnded(id, cancelled)
             statuses.acceptedAsCancelled(id)
         }
     }
--- a/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
+++ b/src/main/kotlin/mintfield/app/api/PredecessorLookup.kt
@@ -34,7 +34,7 @@
     /** Loads the final state of a job that the up-to-date replica does not contain, if it has one; false without a response from the store. */
     private suspend fun readFinalState(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
-        found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }?.let { replicator.ended(id, it) }
+        found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }?.let { replicator.onJobEnded(id, it) }
         return true
     }
 
--- a/src/main/kotlin/mintfield/app/api/UserApi.kt
+++ b/src/main/kotlin/mintfield/app/api/UserApi.kt
@@ -71,7 +71,7 @@
             )
         return when (userWrites.write(preconditions, writes)) {
             WriteResult.APPLIED -> {
-                replicator.ended(id, cancelled)
+                replicator.onJobEnded(id, cancelled)
                 statuses.stateOf(id, KnownJob.Ended(cancelled))
             }
             WriteResult.REFUSED -> statuses.busy("the state service does not take it now")
--- a/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
+++ b/src/main/kotlin/mintfield/app/cli/MachinesCommand.kt
@@ -79,7 +79,7 @@
     }
 
     private companion object {
-        /** The name of this process in traces, where a controller has its member name. */
+        /** The name of this process in traces, where a controller uses its own name. */
         const val TRACE_PROCESS_NAME = "machines"
     }
 }
--- a/src/main/kotlin/mintfield/app/election/LeaderElection.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElection.kt
@@ -33,8 +33,8 @@
 import kotlin.random.Random
 
 /**
- * Takes part in the election of one leader: reads the leader key, watches it while another member leads, and campaigns when the key does
- * not exist. The key is attached to a lease of the state service and is deleted when the leader no longer renews that lease. The revision
+ * Takes part in the election of one leader: reads the leader key, watches it while another controller leads, and campaigns when the key does
+ * not exist. The key is attached to a lease of the store and is deleted when the leader no longer renews that lease. The revision
  * of the key is the term.
  */
 class LeaderElection(
@@ -53,8 +53,8 @@
     private val keys = LeaderKeys(shard?.name)
     private val store = services.store
     private val leaseMs = services.settings.operator.leaderLeaseMs
-    private val memberName = services.settings.member
-    private val random = Random(System.nanoTime() xor memberName.hashCode().toLong())
+    private val controllerName = services.settings.member
+    private val random = Random(System.nanoTime() xor controllerName.hashCode().toLong())
 
     /** Distinguishes this process from earlier processes of the same controller. */
     private val nonce = java.lang.Long.toHexString(random.nextLong())
@@ -64,10 +64,10 @@
     var leader: Leader? = null
         private set
 
-    /** The last peer that reported leading while this process could not read the leader key; null if none. */
+    /** The last peer that claimed to lead while this process could not read the leader key; null if none. */
     private var claimedLeader: String? = null
 
-    /** The member that leads, as far as this process knows; null if unknown. */
+    /** The controller that leads, as far as this process knows; null if unknown. */
     val knownLeader: String? get() = if (leaderRole.role == Role.SEEKING) claimedLeader else leaderRole.leader
 
     /** Takes part in the election until cancelled. A failed step is retried. */
@@ -97,21 +97,21 @@
         val entry = result.value
         when {
             entry == null -> leaderRole.moveTo(Role.CANDIDATE, null)
-            memberOf(entry.data) == memberName && leader == null -> endStaleLease(entry)
+            controllerOf(entry.data) == controllerName && leader == null -> endStaleLease(entry)
             else -> follow(entry)
         }
     }
 
-    /** Ends the lease of a leader key that an earlier process of this member wrote. That process has ended, so nothing relies on the lease. */
+    /** Ends the lease of a leader key that an earlier process of this controller wrote. That process has ended, so nothing relies on the lease. */
     private suspend fun endStaleLease(entry: Entry) {
-        Log.info("ending the lease of an earlier process of $memberName, term ${entry.revision}")
+        Log.info("ending the lease of an earlier process of $controllerName, term ${entry.revision}")
         entry.lease?.let { store.endLease(it) }
         leaderRole.moveTo(Role.SEEKING, null)
     }
 
     /** Watches the leader key until it is deleted, or until a watch fails or starts from a revision that is too old. */
     private suspend fun follow(entry: Entry) {
-        leaderRole.moveTo(Role.FOLLOWING, memberOf(entry.data))
+        leaderRole.moveTo(Role.FOLLOWING, controllerOf(entry.data))
         var after = entry.revision
         while (true) {
             val result = store.watch(keys.leader, after, LeadershipConstants.LEADER_WATCH_MS, urgent = true)
@@ -121,11 +121,11 @@
             after = maxOf(after, changes.revision)
             val newest = changes.newest() ?: continue
             val data = newest.data ?: return leaderRole.moveTo(Role.CANDIDATE, null)
-            leaderRole.moveTo(Role.FOLLOWING, memberOf(data))
+            leaderRole.moveTo(Role.FOLLOWING, controllerOf(data))
         }
     }
 
-    private fun memberOf(leaderValue: Map<String, Any?>): String? = leaderValue["member"] as? String
+    private fun controllerOf(leaderValue: Map<String, Any?>): String? = leaderValue["member"] as? String
 
     private suspend fun campaign() {
         delay(random.nextLong(LeadershipConstants.ELECTION_JITTER_MS))
@@ -137,7 +137,7 @@
         val sentAtMs = loop.nowMs()
         val lease = (store.grantLease(leaseMs) as? StoreResult.Ok)?.value ?: return seekAgainAfter(StoreConstants.STORE_RETRY_MS)
         when (val claim = claimLeaderKey(lease)) {
-            is Claim.Won -> lead(LeaderTenure(claim.term, lease, nonce, memberName, LeaseClock(leaseMs, sentAtMs)))
+            is Claim.Won -> lead(LeaderTenure(claim.term, lease, nonce, controllerName, LeaseClock(leaseMs, sentAtMs)))
             Claim.Lost -> {
                 store.endLease(lease)
                 leaderRole.moveTo(Role.SEEKING, null)
@@ -160,7 +160,7 @@
 
     /** Creates the leader key, attached to [lease], unless it exists already. */
     private suspend fun claimLeaderKey(lease: Long): Claim {
-        val put = KeyWrite.Put(keys.leader, LeaderTenure.leaderValue(memberName, nonce), lease)
+        val put = KeyWrite.Put(keys.leader, LeaderTenure.leaderValue(controllerName, nonce), lease)
         val preconditions = listOfNotNull(Precondition(keys.leader, 0), shardElection?.activation?.precondition)
         return when (val result = store.txn(preconditions, listOf(put), urgent = true)) {
             is StoreResult.Ok -> {
@@ -183,7 +183,7 @@
     }
 
     private fun lead(tenure: LeaderTenure) {
-        leaderRole.moveTo(Role.LEADING, memberName)
+        leaderRole.moveTo(Role.LEADING, controllerName)
         Log.info("leading ${shard?.name ?: ""}".trim() + " with term ${tenure.term}")
         val leaderScope = scope + SupervisorJob(scope.coroutineContext[Job])
         val newLeader =
@@ -195,11 +195,11 @@
         announce()
     }
 
-    /** Gives up the leadership and ends its lease, so that another member can be elected before the lease would expire. */
+    /** Gives up the leadership and ends its lease, so that another controller can be elected before the lease would expire. */
     suspend fun transferLeadership(reason: String) {
         val resigning = leader ?: return
         resigning.resign(reason)
-        // The lease must not end before the leader has stopped: once it ends, another member may lead at any moment.
+        // The lease must not end before the leader has stopped: once it ends, another controller may lead at any moment.
         resigning.endLease()
     }
 
@@ -216,8 +216,8 @@
     }
 
     /**
-     * Handles a report of [peer] that it leads with [term]. A leader in this process with a lower term is deposed at once, so that workers
-     * that still send their heartbeats here are redirected even while the state service cannot be reached.
+     * Handles the notice of [peer] that it leads with [term]. A leader in this process with a lower term is deposed at once, so that workers
+     * that still send their heartbeats here are redirected even while the store cannot be reached.
      */
     fun peerLeads(
         peer: String,
--- a/src/main/kotlin/mintfield/app/election/LeaderElections.kt
+++ b/src/main/kotlin/mintfield/app/election/LeaderElections.kt
@@ -19,7 +19,7 @@
     /** The election of the leader of [shard]; null if there is no such shard. */
     fun ofShard(shard: String): LeaderElection? = all.firstOrNull { it.shard?.name == shard }
 
-    /** The member that leads [shard], as far as this process knows; null if unknown. */
+    /** The controller that leads [shard], as far as this process knows; null if unknown. */
     fun leaderOf(shard: String): String? = ofShard(shard)?.knownLeader
 
     /** The election whose leader responds to the heartbeat in [body]; null if no shard owns the machine, or the heartbeat is unreadable. */
@@ -36,7 +36,7 @@
         return terms
     }
 
-    /** Handles a report of [peer] that it leads [shard] with [term]. A leader in this process with a lower term is deposed. */
+    /** Handles the notice of [peer] that it leads [shard] with [term]. A leader in this process with a lower term is deposed. */
     fun peerLeads(
         peer: String,
         shard: String,
@@ -45,7 +45,7 @@
         all.firstOrNull { nameOf(it) == shard }?.peerLeads(peer, term)
     }
 
-    /** Lowers the write rate of the leaders in this process for a limited time, as users' writes wait for the state service. */
+    /** Lowers the write rate of the leaders in this process for a limited time, as users' writes wait for the store. */
     fun yieldToUsers() = leaders.forEach { it.yieldToUsers() }
 
     private fun nameOf(election: LeaderElection): String = election.shard?.name ?: UNSHARDED
--- a/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitLoop.kt
@@ -19,7 +19,7 @@
 import mintfield.io.store.StoreResult
 import mintfield.io.store.TxnOutcome
 
-/** Commits the scheduler's decisions to the state service, one transaction at a time, at the rate that [pacer] permits. */
+/** Commits the scheduler's decisions to the store, one transaction at a time, at the rate that [pacer] permits. */
 class CommitLoop(
     private val loop: EventLoop,
     private val services: ExternalServices,
--- a/src/main/kotlin/mintfield/app/leader/CommitTransaction.kt
+++ b/src/main/kotlin/mintfield/app/leader/CommitTransaction.kt
@@ -8,17 +8,17 @@
 import mintfield.io.store.KeyWrite
 import mintfield.io.store.Precondition
 
-/** A transaction of the leader with the state service: as many writes of a commit, in order, as fit within the limits. */
+/** A transaction of the leader with the store: as many writes of a commit, in order, as fit within the limits. */
 class CommitTransaction(
     /** The writes of the commit that the transaction contains. */
     val writes: List<Write>,
     val preconditions: List<Precondition>,
     val keyWrites: List<KeyWrite>,
-    /** The limits of the state service that were in force when the transaction was packed. */
+    /** The limits of the store that were in force when the transaction was packed. */
     val limits: StateLimits,
 )
 
-/** Packs the writes of commits into transactions, within the limits of the state service. */
+/** Packs the writes of commits into transactions, within the limits of the store. */
 class CommitPacker(
     private val leaderKey: String,
     private val encoder: WriteEncoder,
--- a/src/main/kotlin/mintfield/app/leader/DirectCommandSender.kt
+++ b/src/main/kotlin/mintfield/app/leader/DirectCallSender.kt
@@ -13,8 +13,8 @@
 import mintfield.io.worker.CommandCodec
 import mintfield.io.worker.HeartbeatCodec
 
-/** Sends commands to workers without waiting for their next heartbeats. The number of concurrent calls is bounded. */
-class DirectCommandSender(
+/** Sends commands to workers in direct calls, without waiting for their next heartbeats. The number of concurrent calls is bounded. */
+class DirectCallSender(
     private val loop: EventLoop,
     private val scope: CoroutineScope,
     private val services: ExternalServices,
@@ -41,9 +41,9 @@
     private suspend fun send(call: DirectCall) {
         val client = services.worker(call.address) ?: return scheduler.directCallUnanswered(call, sent = false, loop.nowMs())
         val body = CommandCodec.encode(call.term, call.incarnation, call.commands)
-        when (val reply = client.call("POST", "/commands", body, WorkerConstants.DIRECT_COMMAND_TIMEOUT_MS)) {
-            is HttpResult.Received -> handleResponse(reply, call)
-            is HttpResult.NoResponse -> scheduler.directCallUnanswered(call, reply.sent, loop.nowMs())
+        when (val result = client.call("POST", "/commands", body, WorkerConstants.DIRECT_CALL_TIMEOUT_MS)) {
+            is HttpResult.Received -> handleResponse(result, call)
+            is HttpResult.NoResponse -> scheduler.directCallUnanswered(call, result.sent, loop.nowMs())
         }
     }
 
--- a/src/main/kotlin/mintfield/app/leader/Leader.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leader.kt
@@ -25,7 +25,7 @@
 import mintfield.io.store.StoreResult
 
 /**
- * Leader for one tenure of this member: runs the scheduler and executes its decisions. Its coroutines run in [scope], which the owner
+ * Leader for one tenure of this controller: runs the scheduler and executes its decisions. Its coroutines run in [scope], which the owner
  * of the leader cancels when `onDeposed` is called. After that call the leader must not be used.
  */
 class Leader(
@@ -49,7 +49,7 @@
         Scheduler(
             settings = settings,
             term = tenure.term,
-            isRecordedAsCancelled = { replicator.live[it]?.cancelled == true },
+            isRecordedAsCancelled = { replicator.unfinishedJobs[it]?.cancelled == true },
             ownership = shardLeadership?.ownership ?: WholeFleet,
             dependencies = replicator.dependencies,
             stateLimits = services.stateLimits,
@@ -63,8 +63,8 @@
 
     private val pacer = WritePacer(loop, settings, services.stateLimits)
     private val packer = CommitPacker(keys.leader, WriteEncoder(keys, services.stateLimits, tenure), services.stateLimits)
-    private val commits = CommitLoop(loop, services, scheduler, keys.leader, packer, pacer, this, replicator::ended)
-    private val directCommands = DirectCommandSender(loop, scope, services, scheduler, ::wake)
+    private val commits = CommitLoop(loop, services, scheduler, keys.leader, packer, pacer, this, replicator::onJobEnded)
+    private val directCalls = DirectCallSender(loop, scope, services, scheduler, ::wake)
     private val replay = Replay(loop, services, replicator, scheduler, keys, ::isScheduledHere)
     private val cloudCalls = CloudCallExecutor(loop, services.cloud, scheduler, this, ::wake)
     private val leaseRenewal = LeaseRenewal(loop, store, tenure, this)
@@ -92,7 +92,7 @@
 
     override fun leaseExpired() = onDeposed("the leader lease has expired")
 
-    /** Lowers the rate of this leader's writes for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the state service. */
+    /** Lowers the rate of this leader's writes for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the store. */
     fun yieldToUsers() = pacer.yieldToUsers()
 
     /** Signals that there may be something to commit. */
@@ -116,14 +116,14 @@
             launchComponent("assignments") { shardLeader.changeAssignments(this) }
             launchComponent("remote tasks") { shardLeader.followRemoteTasks(this) }
         }
-        launchComponent("commits") { commits.run { if (mayAct()) directCommands.sendDue() } }
+        launchComponent("commits") { commits.run { if (mayAct()) directCalls.sendDue() } }
         launchComponent("cloud calls") { cloudCalls.run() }
         launchComponent("ticks") { runTicks() }
         launchComponent("job replica") { replicator.follow() }
     }
 
     /** Runs [work] in a coroutine of this leader. If it fails, the leader resigns rather than continue without one of its components. */
-    @Suppress("TooGenericExceptionCaught") // After any failure, including a bug, another leader has to take over.
+    @Suppress("TooGenericExceptionCaught") // After any failure, including a bug, another leader must be elected.
     private fun launchComponent(
         name: String,
         work: suspend () -> Unit,
--- a/src/main/kotlin/mintfield/app/leader/LeaderJobListener.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaderJobListener.kt
@@ -14,13 +14,13 @@
     private val isScheduledHere: (JobSpec) -> Boolean,
     private val wake: () -> Unit,
 ) : JobListener {
-    override fun changed(job: AcceptedJob) {
+    override fun onJobChanged(job: AcceptedJob) {
         if (!isScheduledHere(job.spec)) return
         scheduler.jobChanged(job, loop.nowMs())
         wake()
     }
 
-    override fun removed(id: String) {
+    override fun onJobRemoved(id: String) {
         scheduler.jobRemoved(id, loop.nowMs())
     }
 
--- a/src/main/kotlin/mintfield/app/leader/Leadership.kt
+++ b/src/main/kotlin/mintfield/app/leader/Leadership.kt
@@ -11,6 +11,6 @@
      */
     suspend fun checkLeaderKey()
 
-    /** Deposes the leader, because the lease that the leader key was attached to no longer exists in the state service. */
+    /** Deposes the leader, because the lease that the leader key was attached to no longer exists in the store. */
     fun leaseExpired()
 }
--- a/src/main/kotlin/mintfield/app/leader/LeaseRenewal.kt
+++ b/src/main/kotlin/mintfield/app/leader/LeaseRenewal.kt
@@ -10,7 +10,7 @@
 
 /**
  * Renews the lease that the leader key is attached to. A renewed lease is counted from the sending of the request, not from its response,
- * so that it does not end later here than in the state service.
+ * so that it does not end later here than in the store.
  */
 class LeaseRenewal(
     private val loop: EventLoop,
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Retries until the state service responds. */
+    /** Retries until the store responds. */
     private suspend fun renew(): Outcome {
         var failures = 0
         while (true) {
--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -137,7 +137,7 @@
     ) {
         val nowMs = loop.nowMs()
         replicator.listeners.add(listener)
-        val jobs = replicator.live.values.filter { isScheduledHere(it.spec) }
+        val jobs = replicator.unfinishedJobs.values.filter { isScheduledHere(it.spec) }
         jobs.forEach { scheduler.jobChanged(it, nowMs) }
         records.intents.forEach { scheduler.replay.intent(ScaleOutIntentCodec.decode(it.key.removePrefix(keys.intents), it.data)) }
         records.rounds.forEach { replayRound(it, nowMs) }
--- a/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
+++ b/src/main/kotlin/mintfield/app/leader/WriteEncoder.kt
@@ -16,7 +16,7 @@
 import mintfield.io.store.ScaleOutIntentCodec
 import mintfield.io.store.ZoneFenceCodec
 
-/** Encodes the scheduler's writes as keys and values of the state service. */
+/** Encodes the scheduler's writes as keys and values of the store. */
 class WriteEncoder(
     private val keys: LeaderKeys,
     private val limits: StateLimitsInForce,
--- a/src/main/kotlin/mintfield/app/leader/WritePacer.kt
+++ b/src/main/kotlin/mintfield/app/leader/WritePacer.kt
@@ -7,8 +7,8 @@
 import mintfield.io.loop.RateLimiter
 
 /**
- * Limits the rate of a leader's writes to its part of the rate that the state service permits, and to a smaller part while users' writes
- * wait.
+ * Limits the rate of a leader's writes to its part of the rate that the store permits, and to a smaller part while
+ * users' writes wait.
  */
 class WritePacer(
     private val loop: EventLoop,
@@ -42,13 +42,13 @@
     /** Counts [count] writes that are sent now against the rate. */
     fun recordWrites(count: Int) = rateLimiter.take(count.toDouble())
 
-    /** Lowers the rate for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the state service. */
+    /** Lowers the rate for [StoreConstants.LEADER_YIELD_MS], as users' writes wait for the store. */
     fun yieldToUsers() {
         yieldUntilMs = loop.nowMs() + StoreConstants.LEADER_YIELD_MS
         rateLimiter.rate = permittedWritesPerS * StoreConstants.LEADER_WRITE_FRACTION_YIELDING
     }
 
-    /** Applies the limits in force, which another component of this controller may have lowered after a response of the state service. */
+    /** Applies the limits in force, which another component of this controller may have lowered after a response of the store. */
     private fun applyLimits() {
         if (limitsApplied == limits.current) return
         limitsApplied = limits.current
--- a/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
+++ b/src/main/kotlin/mintfield/app/peer/LocalStatus.kt
@@ -13,7 +13,7 @@
     /** The progress of the jobs whose leader runs in this process, by job id. */
     fun progressOfLedJobs(): Map<String, Progress>
 
-    /** Whether users' writes to the state service queue up at this controller. */
+    /** Whether users' writes to the store queue up at this controller. */
     fun isCongested(): Boolean
 
     /** The load of [shard]; null if its leader does not run in this process or its load is not known yet. */
--- a/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRelay.kt
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Relays a user's [request] to a peer that the state service serves, and returns its response. Null if the state service serves this
+     * Relays a user's [request] to a peer that the store serves, and returns its response. Null if the store serves this
      * controller, or no peer responds. The request is relayed rather than refused, since the user would retry over the same connection.
      */
     suspend fun userRequest(request: HttpMessage): Response? {
@@ -77,8 +77,8 @@
         peer: String,
         body: ByteArray,
     ): ByteArray? {
-        val reply = clients[peer]?.call("POST", PeerPaths.FOREIGN_TASKS, body, PeerConstants.PEER_TIMEOUT_MS)
-        return (reply as? HttpResult.Received)?.takeIf { it.status == HttpStatus.OK }?.body
+        val result = clients[peer]?.call("POST", PeerPaths.FOREIGN_TASKS, body, PeerConstants.PEER_TIMEOUT_MS)
+        return (result as? HttpResult.Received)?.takeIf { it.status == HttpStatus.OK }?.body
     }
 
     /** Sends [bytes] once the limit of relayed requests to [peer] permits; null without a response within [timeoutMs], queueing included. */
@@ -89,10 +89,10 @@
         bytes: ByteArray,
         timeoutMs: Long,
     ): RelayResponse? {
-        val reply = withTimeoutOrNull(timeoutMs) { relayPermits.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
-        if (reply !is HttpResult.Received || reply.status != HttpStatus.OK) return null
+        val result = withTimeoutOrNull(timeoutMs) { relayPermits.getValue(peer).withPermit { client.call("POST", path, bytes, timeoutMs) } }
+        if (result !is HttpResult.Received || result.status != HttpStatus.OK) return null
         lastResponseAtMs[peer] = loop.nowMs()
-        return decodeOrNull(RelayResponse.serializer(), reply.body)
+        return decodeOrNull(RelayResponse.serializer(), result.body)
     }
 
     private companion object {
--- a/src/main/kotlin/mintfield/app/peer/PeerRequestHandler.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerRequestHandler.kt
@@ -6,7 +6,7 @@
 
 /** Handles the messages of peers. */
 interface PeerRequestHandler {
-    /** Handles the notice of a peer that users' writes to the state service queue up there. */
+    /** Handles the notice of a peer that users' writes to the store queue up there. */
     fun peerCongested()
 
     /** Handles the [load] reported by a peer that leads [shard]. */
--- a/src/main/kotlin/mintfield/app/peer/PeerServer.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerServer.kt
@@ -38,17 +38,17 @@
 
     private suspend fun heartbeat(body: ByteArray): Response {
         val relayed = decodeOrNull(RelayedHeartbeat.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a report")
-        val answer = handler.relayedHeartbeat(relayed.body)
-        return relayed(RelayResponse(answer.status, answer.body))
+        val response = handler.relayedHeartbeat(relayed.body)
+        return relayed(RelayResponse(response.status, response.body))
     }
 
     private suspend fun userRequest(body: ByteArray): Response {
         val relayed = decodeOrNull(RelayedRequest.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a request")
-        val answer = handler.relayedUserRequest(relayed.method, relayed.path, relayed.body)
-        return relayed(RelayResponse(answer.status, answer.body, answer.retryAfterS ?: 0))
+        val response = handler.relayedUserRequest(relayed.method, relayed.path, relayed.body)
+        return relayed(RelayResponse(response.status, response.body, response.retryAfterS ?: 0))
     }
 
-    private fun relayed(answer: RelayResponse) = Response(HttpStatus.OK, ProtoBuf.encodeToByteArray(RelayResponse.serializer(), answer))
+    private fun relayed(response: RelayResponse) = Response(HttpStatus.OK, ProtoBuf.encodeToByteArray(RelayResponse.serializer(), response))
 
     private fun status(body: ByteArray): Response {
         val status = decodeOrNull(PeerStatus.serializer(), body) ?: return Response.error(HttpStatus.BAD_REQUEST, "not a note")
--- a/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
+++ b/src/main/kotlin/mintfield/app/peer/PeerStatusSender.kt
@@ -55,14 +55,14 @@
     ) {
         val sentAtMs = loop.nowMs()
         val bytes = ProtoBuf.encodeToByteArray(PeerStatus.serializer(), statusFor(peer))
-        val reply = client.call("POST", PeerPaths.STATUS, bytes, PeerConstants.PEER_TIMEOUT_MS)
-        if (reply is HttpResult.Received && reply.status == HttpStatus.OK) {
-            val response = decodeOrNull(PeerStatusResponse.serializer(), reply.body) ?: return
+        val result = client.call("POST", PeerPaths.STATUS, bytes, PeerConstants.PEER_TIMEOUT_MS)
+        if (result is HttpResult.Received && result.status == HttpStatus.OK) {
+            val response = decodeOrNull(PeerStatusResponse.serializer(), result.body) ?: return
             val page = CancellationPage(response.incarnation, response.from, response.cancelled, response.total)
             local.cancellationsReceived(peer, page, sentAtMs)
         }
         // A call that fails well before its timeout means a refused connection.
-        if (reply is HttpResult.NoResponse && loop.nowMs() - sentAtMs < PeerConstants.PEER_TIMEOUT_MS / 2) health.connectionRefused(peer)
+        if (result is HttpResult.NoResponse && loop.nowMs() - sentAtMs < PeerConstants.PEER_TIMEOUT_MS / 2) health.connectionRefused(peer)
     }
 
     private fun statusFor(peer: String): PeerStatus {
--- a/src/main/kotlin/mintfield/app/replica/FreshnessCheck.kt
+++ b/src/main/kotlin/mintfield/app/replica/FreshnessCheck.kt
@@ -16,7 +16,7 @@
 internal class FreshnessCheck(
     private val scope: CoroutineScope,
     private val gapMs: Long,
-    /** Brings the replica up to date; false if the state service does not respond. */
+    /** Brings the replica up to date; false if the store does not respond. */
     private val check: suspend () -> Boolean,
 ) {
     private var waiters = ArrayList<CompletableDeferred<Boolean>>()
--- a/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
@@ -11,7 +11,7 @@
 import mintfield.io.store.Keys
 import mintfield.io.store.Page
 
-/** Decodes jobs from entries and changes of the state service. An unreadable record does not affect other jobs, and its own job stays pending. */
+/** Decodes jobs from entries and changes of the store. An unreadable record does not affect other jobs, and its own job stays pending. */
 internal class JobRecordReader(
     private val replica: JobReplica,
     private val recomputeCompatibleTypes: (AcceptedJob) -> List<String>,
--- a/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobReplicator.kt
@@ -14,7 +14,7 @@
 import mintfield.io.store.StoreResult
 
 /**
- * Keeps this process's [JobReplica] in sync with the state service. The replica may lag behind; [awaitCurrent] brings it up to date with
+ * Keeps this process's [JobReplica] in sync with the store. The replica may lag behind; [awaitCurrent] brings it up to date with
  * the time of the call, with one request for all waiting callers.
  */
 class JobReplicator(
@@ -33,10 +33,10 @@
     private val predecessors = PredecessorResolver(store, scope, replica)
 
     /** The unfinished jobs, by id. */
-    val live: Map<String, AcceptedJob> get() = replica.live
+    val unfinishedJobs: Map<String, AcceptedJob> get() = replica.unfinishedJobs
 
-    /** Whether all unfinished jobs have been read from the state service. */
-    val loaded: Boolean get() = replica.loaded
+    /** Whether all unfinished jobs have been read from the store. */
+    val isLoaded: Boolean get() = replica.isLoaded
 
     /** The dependencies of the unfinished jobs. */
     val dependencies: DependencyGraph get() = replica.dependencies
@@ -50,9 +50,9 @@
     init {
         replica.listener =
             object : JobListener {
-                override fun changed(job: AcceptedJob) = listeners.forEach { it.changed(job) }
+                override fun onJobChanged(job: AcceptedJob) = listeners.forEach { it.onJobChanged(job) }
 
-                override fun removed(id: String) = listeners.forEach { it.removed(id) }
+                override fun onJobRemoved(id: String) = listeners.forEach { it.onJobRemoved(id) }
 
                 override fun becameReady(id: String) = listeners.forEach { it.becameReady(id) }
 
@@ -63,22 +63,22 @@
     /** The state of job [id] in the replica, which may lag behind; null if the job is unknown. */
     fun known(id: String): KnownJob? = replica.known(id)
 
-    /** Records the final [state] of job [id], which must be committed to the state service already. */
-    fun ended(
+    /** Records the final [state] of job [id], which must be committed to the store already. */
+    fun onJobEnded(
         id: String,
         state: FinalState,
     ) = replica.onJobEnded(id, state)
 
-    /** Waits until the replica shows every change made in the state service before the call; false if the state service does not respond. */
+    /** Waits until the replica shows every change made in the store before the call; false if the store does not respond. */
     suspend fun awaitCurrent(): Boolean = freshness.await()
 
-    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the state service does not respond. */
+    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the store does not respond. */
     suspend fun resolvePredecessorsOf(id: String): Boolean = predecessors.resolvePredecessorsOf(id)
 
-    /** Applies changes as the state service publishes them, until cancelled. */
+    /** Applies changes as the store publishes them, until cancelled. */
     suspend fun follow() {
         while (true) {
-            if (!loaded && !load()) {
+            if (!isLoaded && !load()) {
                 delay(StoreConstants.STORE_RETRY_MS)
                 continue
             }
@@ -87,7 +87,7 @@
     }
 
     private suspend fun check(): Boolean {
-        if (!loaded) return load()
+        if (!isLoaded) return load()
         return when (catchUp(waitMs = 0)) {
             CatchUp.CURRENT -> true
             CatchUp.HISTORY_LOST -> check()
@@ -113,7 +113,7 @@
         return CatchUp.CURRENT
     }
 
-    /** Reads all unfinished jobs; false if the state service does not respond. The next watch returns the changes made after the first page. */
+    /** Reads all unfinished jobs; false if the store does not respond. The next watch returns the changes made after the first page. */
     private suspend fun load(): Boolean {
         val sentAtMs = nowMs()
         replica.beginSnapshot().use { snapshot ->
--- a/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
+++ b/src/main/kotlin/mintfield/app/replica/PredecessorResolver.kt
@@ -35,10 +35,10 @@
         }
     }
 
-    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the state service does not respond. */
+    /** Looks up the direct and indirect predecessors of job [id] that are unresolved; false if the store does not respond. */
     suspend fun resolvePredecessorsOf(id: String): Boolean = replica.dependencies.unresolvedBefore(id).all { resolve(it) }
 
-    /** Reads the final state of the predecessor [id]; false if the state service does not respond. */
+    /** Reads the final state of the predecessor [id]; false if the store does not respond. */
     private suspend fun resolve(id: String): Boolean {
         val found = store.get(Keys.final(id)) as? StoreResult.Ok ?: return false
         val state = found.value?.let { FinalStateCodec.decode(it.data).valueOrNull }
--- a/src/main/kotlin/mintfield/app/sharding/ActivationObstacle.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ActivationObstacle.kt
@@ -5,7 +5,7 @@
     /** The reason, worded to follow a colon in a log line. */
     val reason: String
 
-    /** The state service did not respond, or did not apply the transaction that writes the marker. */
+    /** The store did not respond, or did not apply the transaction that writes the marker. */
     data object StoreUnavailable : ActivationObstacle {
         override val reason get() = "the state service does not respond"
     }
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -89,9 +89,9 @@
         revision: Long,
     ) {
         if (revision <= drainRecord.revision) return
-        val members = if (data == null) emptySet() else DrainCodec.parse(data)
-        if (members == null) Log.error("${Keys.DRAINED}: record of revision $revision cannot be decoded; the last decoded set stays in effect")
-        drainRecord = DrainRecord(revision, members)
-        drained = members ?: drained
+        val controllers = if (data == null) emptySet() else DrainCodec.parse(data)
+        if (controllers == null) Log.error("${Keys.DRAINED}: record of revision $revision cannot be decoded; the last decoded set stays in effect")
+        drainRecord = DrainRecord(revision, controllers)
+        drained = controllers ?: drained
     }
 }
--- a/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
+++ b/src/main/kotlin/mintfield/app/sharding/ShardTransfers.kt
@@ -17,14 +17,14 @@
     suspend fun run() {
         while (true) {
             delay(PeerConstants.HEALTH_CHECK_MS)
-            for (member in elections.all) transferIfDue(member)
+            for (election in elections.all) transferIfDue(election)
         }
     }
 
-    private suspend fun transferIfDue(member: LeaderElection) {
-        val shard = member.shard ?: return
-        if (member.leader == null) return
+    private suspend fun transferIfDue(election: LeaderElection) {
+        val shard = election.shard ?: return
+        if (election.leader == null) return
         val transfer = succession.transferDue(shard, loop.nowMs()) ?: return
-        member.transferLeadership(transfer.reason)
+        election.transferLeadership(transfer.reason)
     }
 }
--- a/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
+++ b/src/main/kotlin/mintfield/app/upgrade/VersionRecords.kt
@@ -28,11 +28,11 @@
     private val versions = ControllerVersions(settings.peers.map { it.member })
     private var readAtMs = NEVER
 
-    /** Handles the [generation] in a status message of the controller [member]. */
+    /** Handles the [generation] in a status message of [controller]. */
     fun announced(
-        member: String,
+        controller: String,
         generation: Int,
-    ) = versions.announced(member, generation)
+    ) = versions.announced(controller, generation)
 
     /** Records the generation of this program in the store unless it is recorded already, and retries until it has succeeded. */
     suspend fun record() {
--- a/src/main/kotlin/mintfield/app/warmup/InMemoryStateService.kt
+++ b/src/main/kotlin/mintfield/app/warmup/InMemoryStore.kt
@@ -16,12 +16,12 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * An in-memory implementation of the state service's protocol: revisions, preconditions, leases and watches. Used by the training run for
+ * An in-memory implementation of the store's protocol: revisions, preconditions, leases and watches. Used by the training run for
  * the class-data archive and by tests. It enforces no request rates, and every renewal of a lease grants the same time.
  *
  * Must be called on [loop] only, except [forcePut]; the properties that inject faults may be set from any thread.
  */
-class InMemoryStateService(
+class InMemoryStore(
     private val loop: EventLoop,
 ) {
     private class Item(
--- a/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
+++ b/src/main/kotlin/mintfield/app/warmup/WarmUp.kt
@@ -26,7 +26,7 @@
     private val loop = EventLoop()
     private val scope = loop.scope()
     private val group = AsynchronousChannelGroup.withThreadPool(loop.executor)
-    private val store = InMemoryStateService(loop)
+    private val store = InMemoryStore(loop)
     private val worker = WarmUpWorker()
     private val ports = List(PORTS) { ServerSocket(0).use { it.localPort } }
 
@@ -85,8 +85,8 @@
     private suspend fun heartbeats(controller: WarmUpController) {
         val client = client(controller)
         while (true) {
-            val reply = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_TIMEOUT_MS)
-            if (reply is HttpResult.Received && reply.status == HttpStatus.OK) worker.execute(reply.json)
+            val result = client.call("POST", "/checkin", worker.heartbeat(ports[WORKER]), CALL_TIMEOUT_MS)
+            if (result is HttpResult.Received && result.status == HttpStatus.OK) worker.execute(result.json)
             delay(HEARTBEAT_INTERVAL_MS)
         }
     }
--- a/src/main/kotlin/mintfield/core/ConnectionLimits.kt
+++ b/src/main/kotlin/mintfield/core/ConnectionLimits.kt
@@ -19,7 +19,7 @@
     val pooledWorkerConnections: Int = (settings.maxSockets * WorkerConstants.WORKER_POOL_SOCKET_FRACTION).toInt()
 
     /** Maximum number of concurrent direct calls to workers. */
-    val directCalls: Int = maxOf(WorkerConstants.MIN_DIRECT_COMMANDS, (settings.maxSockets * WorkerConstants.DIRECT_COMMAND_SOCKET_FRACTION).toInt())
+    val directCalls: Int = maxOf(WorkerConstants.MIN_DIRECT_CALLS, (settings.maxSockets * WorkerConstants.DIRECT_CALL_SOCKET_FRACTION).toInt())
 
     /** Maximum number of heartbeats and user requests relayed to one peer at once. */
     val maxConcurrentRelays: Int = maxOf(PeerConstants.MIN_CONCURRENT_RELAYS, (settings.maxSockets * PeerConstants.CONCURRENT_RELAYS_PER_SOCKET).toInt())
--- a/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
@@ -12,10 +12,10 @@
     const val HEARTBEAT_TIMEOUT_SLACK_MS = 2_500L
 
     /** Timeout for the response to a direct call. */
-    const val DIRECT_COMMAND_TIMEOUT_MS = 1_500L
+    const val DIRECT_CALL_TIMEOUT_MS = 1_500L
 
     /** Time without direct calls to a worker that left one unanswered. */
-    const val DIRECT_COMMAND_BACKOFF_MS = 5_000L
+    const val DIRECT_CALL_BACKOFF_MS = 5_000L
 
     /** Number of consecutive unanswered direct calls from which the network is assumed to be the cause. */
     const val DIRECT_PATH_LOST_AFTER = 6
@@ -24,10 +24,10 @@
     const val DIRECT_PATH_PROBE_MS = 2_000L
 
     /** Minimum limit on the direct calls in flight. */
-    const val MIN_DIRECT_COMMANDS = 32
+    const val MIN_DIRECT_CALLS = 32
 
     /** Fraction of the sockets that direct calls in flight may use. */
-    const val DIRECT_COMMAND_SOCKET_FRACTION = 0.02
+    const val DIRECT_CALL_SOCKET_FRACTION = 0.02
 
     /** Fraction of the sockets that pooled connections to workers may use. */
     const val WORKER_POOL_SOCKET_FRACTION = 0.12
--- a/src/main/kotlin/mintfield/core/jobs/DirectCallPlanner.kt
+++ b/src/main/kotlin/mintfield/core/jobs/DirectCallPlanner.kt
@@ -125,7 +125,7 @@
         if (consecutiveUnanswered == WorkerConstants.DIRECT_PATH_LOST_AFTER) {
             log("$consecutiveUnanswered consecutive direct calls got no response: starts are sent with heartbeat responses")
         }
-        machine.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_COMMAND_BACKOFF_MS)
+        machine.directRoute.pauseUntil(nowMs + WorkerConstants.DIRECT_CALL_BACKOFF_MS)
         // The call may be carried out minutes later: until the worker has seen a higher term, the absence of a task proves nothing.
         if (sent) machine.lease.recordUnacknowledged(call.term)
         log("${machine.id}: no response to ${call.commands.size} commands of term ${call.term}; they are sent with its next heartbeat response")
--- a/src/main/kotlin/mintfield/core/jobs/JobListener.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobListener.kt
@@ -6,8 +6,8 @@
 /** Listener for changes of a [JobReplica], called after each change is applied to the replica. */
 interface JobListener : DependencyListener {
     /** The record of the unfinished [job] was created or updated. */
-    fun changed(job: AcceptedJob)
+    fun onJobChanged(job: AcceptedJob)
 
     /** The record of job [id] was removed: the job is no longer unfinished, or its unreadable record was deleted. */
-    fun removed(id: String)
+    fun onJobRemoved(id: String)
 }
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -12,7 +12,7 @@
  * newer state is never replaced by older state, and [revision] never decreases. Not thread-safe.
  */
 class JobReplica {
-    private val liveJobs = HashMap<String, AcceptedJob>()
+    private val unfinishedById = HashMap<String, AcceptedJob>()
 
     /** Revisions of the records that cannot be decoded, by job id. */
     private val unreadable = HashMap<String, Long>()
@@ -23,14 +23,14 @@
     private var openSnapshots = 0
 
     /** The unfinished jobs whose records can be decoded, by id. */
-    val live: Map<String, AcceptedJob> get() = liveJobs
+    val unfinishedJobs: Map<String, AcceptedJob> get() = unfinishedById
 
     /** Store revision up to which all changes are applied. */
     var revision = 0L
         private set
 
     /** Whether the replica is complete: false until a first snapshot is complete, and while the store has compacted the changes after [revision]. */
-    var loaded = false
+    var isLoaded = false
         private set
 
     /** The dependencies between the jobs of the replica. */
@@ -46,7 +46,7 @@
     /** The known state of job [id], or null; a final state takes precedence over a record, and both over an unreadable record. */
     fun known(id: String): KnownJob? {
         finals[id]?.let { return KnownJob.Ended(it) }
-        liveJobs[id]?.let { return KnownJob.Live(it) }
+        unfinishedById[id]?.let { return KnownJob.Live(it) }
         return if (id in unreadable) KnownJob.Unreadable else null
     }
 
@@ -80,7 +80,7 @@
 
     /** The store has compacted the changes after revision [requested]: a snapshot is required, unless another request has read them. */
     fun historyCompacted(requested: Long) {
-        if (requested >= revision) loaded = false
+        if (requested >= revision) isLoaded = false
     }
 
     /** Opens a snapshot of all unfinished jobs, to be filled page by page. The caller must close it, whether or not it was completed. */
@@ -108,10 +108,10 @@
             val readAt = checkNotNull(firstRevision) { "snapshot completed without a page" }
             found.forEach { (id, record) -> if (record.revision > (removedAt[id] ?: 0)) write(id, record) }
             // A record written after the first page was read may be in no page; it is among the changes that are read next.
-            val removed = (liveJobs.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
+            val removed = (unfinishedById.keys + unreadable.keys).filter { it !in found && revisionOf(it) <= readAt }
             removed.forEach(::remove)
             revision = maxOf(revision, readAt)
-            loaded = true
+            isLoaded = true
         }
 
         /** Ends the snapshot; removals are no longer tracked once no snapshot is open. */
@@ -137,9 +137,9 @@
         when (record) {
             is JobRecord.Readable -> {
                 unreadable.remove(id)
-                liveJobs[id] = record.job
+                unfinishedById[id] = record.job
                 dependencies.onRecordWritten(record.job)
-                listener?.changed(record.job)
+                listener?.onJobChanged(record.job)
             }
             is JobRecord.Unreadable -> unreadable[id] = record.revision
         }
@@ -151,11 +151,11 @@
     }
 
     private fun remove(id: String) {
-        liveJobs.remove(id)
+        unfinishedById.remove(id)
         unreadable.remove(id)
         dependencies.onRecordRemoved(id)
-        listener?.removed(id)
+        listener?.onJobRemoved(id)
     }
 
-    private fun revisionOf(id: String): Long = maxOf(liveJobs[id]?.revision ?: 0, unreadable[id] ?: 0)
+    private fun revisionOf(id: String): Long = maxOf(unfinishedById[id]?.revision ?: 0, unreadable[id] ?: 0)
 }
--- a/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
+++ b/src/main/kotlin/mintfield/core/leadership/StoreConnectivity.kt
@@ -11,19 +11,19 @@
     val served: Boolean get() = unservedSinceMs == null
 
     /** Records that the store carried out a call. */
-    fun served() {
+    fun onServed() {
         unservedSinceMs = null
         noResponseSinceMs = null
     }
 
     /** Records that the store responded to a call with a refusal. */
-    fun refused(nowMs: Long) {
+    fun onRefused(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
         noResponseSinceMs = null
     }
 
     /** Records that a call got no response. */
-    fun noResponse(nowMs: Long) {
+    fun onNoResponse(nowMs: Long) {
         unservedSinceMs = unservedSinceMs ?: nowMs
         noResponseSinceMs = noResponseSinceMs ?: nowMs
     }
--- a/src/main/kotlin/mintfield/core/model/Heartbeat.kt
+++ b/src/main/kotlin/mintfield/core/model/Heartbeat.kt
@@ -9,7 +9,7 @@
     val spot: Boolean,
     /** Starts at 1 and increases each time that the worker's lease expires, at which the worker loses all its tasks. */
     val incarnation: Long,
-    /** Increases with each message of the worker, whether a heartbeat or the response to a direct command. */
+    /** Increases with each message of the worker, whether a heartbeat or the response to a direct call. */
     val sequence: Long,
     /** The highest fencing token that the worker has seen. */
     val termSeen: Long,
--- a/src/main/kotlin/mintfield/core/model/OperatorSettings.kt
+++ b/src/main/kotlin/mintfield/core/model/OperatorSettings.kt
@@ -17,7 +17,7 @@
     val unresponsiveReleaseMs: Long? = null,
     /** The number of machines that the fleet is expected to reach; null if unknown. */
     val fleetMachines: Int? = null,
-    /** How machines are sharded; null if one leader owns all. */
+    /** How machines are divided into shards; null if one leader owns all. */
     val sharding: ShardingSettings? = null,
     /** The file to which moves of machines between shards are written as trace spans; null if they are not traced. */
     val traceFile: String? = null,
--- a/src/main/kotlin/mintfield/core/model/WorkerCommand.kt
+++ b/src/main/kotlin/mintfield/core/model/WorkerCommand.kt
@@ -8,7 +8,7 @@
     /** The attempt to which the command applies; other attempts of the task are not affected. */
     val attempt: Long
 
-    /** Starts the attempt, unless the worker already knows it, in whatever state. */
+    /** Starts the attempt, unless the worker already has it, in any state. */
     data class Start(
         override val task: TaskId,
         override val attempt: Long,
@@ -21,7 +21,7 @@
         val graceS: Double,
     ) : WorkerCommand
 
-    /** Removes the ended attempt from the worker's heartbeats. The worker then does not know the attempt any more. */
+    /** Removes the ended attempt from the worker's heartbeats. The worker then retains no information about the attempt. */
     data class Acknowledge(
         override val task: TaskId,
         override val attempt: Long,
--- a/src/main/kotlin/mintfield/io/ownership/DrainCodec.kt
+++ b/src/main/kotlin/mintfield/io/ownership/DrainCodec.kt
@@ -6,17 +6,17 @@
 object DrainCodec {
     private const val MEMBERS = "members"
 
-    /** Encodes [members], sorted by name. */
-    fun write(members: Set<String>): ByteArray =
+    /** Encodes [controllers], sorted by name. */
+    fun write(controllers: Set<String>): ByteArray =
         Json.obj {
             writeArrayFieldStart(MEMBERS)
-            members.sorted().forEach(::writeString)
+            controllers.sorted().forEach(::writeString)
             writeEndArray()
         }
 
     /** Decodes the drained controllers; null if [data] is not a valid record. */
     fun parse(data: Map<String, Any?>): Set<String>? {
-        val members = data[MEMBERS] as? List<*> ?: return null
-        return members.mapTo(LinkedHashSet()) { it as? String ?: return null }
+        val controllers = data[MEMBERS] as? List<*> ?: return null
+        return controllers.mapTo(LinkedHashSet()) { it as? String ?: return null }
     }
 }
--- a/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
+++ b/src/main/kotlin/mintfield/io/peer/PeerStatus.kt
@@ -32,7 +32,7 @@
     @ProtoNumber(8) val readNext: Long = 0,
     /** The number of the leader's jobs if [progress] does not hold all of them; otherwise 0. */
     @ProtoNumber(9) val jobs: Int = 0,
-    /** The shards that the sender leads; empty if machines are not sharded. */
+    /** The shards that the sender leads; empty if machines are not divided into shards. */
     @ProtoNumber(10) val shards: List<ShardLeaderStatus> = emptyList(),
     /** The generation that the sender runs; the first generation does not send this field. */
     @ProtoNumber(11) val generation: Int = Generation.FIRST,
--- a/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
+++ b/src/main/kotlin/mintfield/io/settings/SettingsFile.kt
@@ -87,7 +87,7 @@
             nextStateLimits = nextStateLimits(root.table("params.state")),
         )
 
-    /** The announced future limits of the state service; null if there are none. A limit that is not given keeps its present value. */
+    /** The announced future limits of the store; null if there are none. A limit that is not given keeps its present value. */
     private fun nextStateLimits(state: SettingsTable): StateLimits? {
         val next = state.optionalTable("next") ?: return null
 
--- a/src/main/kotlin/mintfield/io/store/Keys.kt
+++ b/src/main/kotlin/mintfield/io/store/Keys.kt
@@ -20,8 +20,8 @@
     /** Prefix of the records of the generations that the controllers run. */
     const val GENERATIONS = "mf/v/"
 
-    /** The key of the generation that the controller [member] runs. */
-    fun generation(member: String) = GENERATIONS + member
+    /** The key of the generation that [controller] runs. */
+    fun generation(controller: String) = GENERATIONS + controller
 
     /** The key of the record of job [id] while it is live. */
     fun live(id: String) = LIVE + id
--- a/src/main/kotlin/mintfield/io/store/RoundCodec.kt
+++ b/src/main/kotlin/mintfield/io/store/RoundCodec.kt
@@ -14,8 +14,7 @@
 
 /**
  * Codec of the stored record of a scheduling round: the recorded outputs of the plan and done-set steps for every chunk of every job
- * that the round changed.
- * Task numbers are encoded as ranges relative to their chunk (see [TaskChunks]).
+ * that the round changed. Task numbers are encoded as ranges relative to their chunk (see [TaskChunks]).
  */
 object RoundCodec {
     private const val PARTS = "parts"
--- a/src/main/kotlin/mintfield/io/store/StoreClient.kt
+++ b/src/main/kotlin/mintfield/io/store/StoreClient.kt
@@ -33,21 +33,21 @@
         client: HttpClient = calls,
     ): StoreResult<HttpResult.Received> {
         requests.acquire(1.0, urgent)
-        return when (val reply = client.call(method, path, body, timeoutMs)) {
-            is HttpResult.Received -> recordResponse(reply)
-            is HttpResult.NoResponse -> recordNoResponse(reply)
+        return when (val result = client.call(method, path, body, timeoutMs)) {
+            is HttpResult.Received -> recordResponse(result)
+            is HttpResult.NoResponse -> recordNoResponse(result)
         }
     }
 
-    private fun recordResponse(reply: HttpResult.Received): StoreResult<HttpResult.Received> {
-        val serverError = reply.status >= HttpStatus.FIRST_SERVER_ERROR
+    private fun recordResponse(result: HttpResult.Received): StoreResult<HttpResult.Received> {
+        val serverError = result.status >= HttpStatus.FIRST_SERVER_ERROR
         onContact(if (serverError) Contact.REFUSED else Contact.SERVED)
-        return if (serverError || reply.status == HttpStatus.TOO_MANY_REQUESTS) StoreResult.Refused(reply.status) else StoreResult.Ok(reply)
+        return if (serverError || result.status == HttpStatus.TOO_MANY_REQUESTS) StoreResult.Refused(result.status) else StoreResult.Ok(result)
     }
 
-    private fun recordNoResponse(reply: HttpResult.NoResponse): StoreResult<Nothing> {
+    private fun recordNoResponse(result: HttpResult.NoResponse): StoreResult<Nothing> {
         onContact(Contact.UNRESPONSIVE)
-        return if (reply.sent) StoreResult.Unknown(reply.reason, reply.tooLarge) else StoreResult.Refused(StoreResult.NOT_SENT)
+        return if (result.sent) StoreResult.Unknown(result.reason, result.tooLarge) else StoreResult.Refused(StoreResult.NOT_SENT)
     }
 
     /** Reads the entry of [key]; null if there is none. */
--- a/src/main/kotlin/mintfield/io/worker/CommandCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/CommandCodec.kt
@@ -4,7 +4,7 @@
 import mintfield.core.model.WorkerCommand
 import mintfield.io.json.Json
 
-/** Encoder of commands to a worker, for the body of the response to its heartbeat or of a direct request. */
+/** Encoder of commands to a worker, for the body of the response to its heartbeat or of a direct call. */
 object CommandCodec {
     private const val TERM = "staff"
     private const val INCARNATION = "season"
@@ -19,7 +19,7 @@
     private const val VERB_STOP = "halt"
     private const val VERB_ACKNOWLEDGE = "clear"
 
-    /** Encodes [commands] with the fencing token [term]. A direct request also has the [incarnation] of the worker; otherwise it is null. */
+    /** Encodes [commands] with the fencing token [term]. A direct call also has the [incarnation] of the worker; otherwise it is null. */
     fun encode(
         term: Long,
         incarnation: Long?,
