--- a/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
+++ b/src/main/kotlin/mintfield/app/replica/JobRecordReader.kt
@@ -54,7 +54,7 @@
     ): JobRecord {
         val job = parse(id, data, revision)
         if (job != null) return JobRecord.Readable(job)
-        if (!replica.isUnreadable(id, revision)) Log.error("$id: record of revision $revision is unreadable; it is kept and the job is reported as pending")
+        if (!replica.isUnreadable(id, revision)) Log.error("job $id: cannot decode record of revision $revision; record kept, job reported as pending")
         return JobRecord.Unreadable(revision)
     }
 
--- a/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
+++ b/src/main/kotlin/mintfield/app/sharding/AssignmentReplica.kt
@@ -80,7 +80,7 @@
         }
         // No controller deletes a block, so a deletion does not mean that its machines have no owner: it is handled as an unreadable block.
         val assignments = data?.let(AssignmentCodec::parse)
-        if (assignments == null) Log.error("$key: assignments of revision $revision cannot be decoded; record kept, its machines not managed")
+        if (assignments == null) Log.error("$key: cannot decode assignments of revision $revision; record kept, its machines not managed")
         table.apply(number, AssignmentBlock(revision, assignments))
     }
 
@@ -90,7 +90,7 @@
     ) {
         if (revision <= drainRecord.revision) return
         val controllers = if (data == null) emptySet() else DrainCodec.parse(data)
-        if (controllers == null) Log.error("${Keys.DRAINED}: record of revision $revision cannot be decoded; the last decoded set stays in effect")
+        if (controllers == null) Log.error("${Keys.DRAINED}: cannot decode record of revision $revision; record kept, last decoded set stays in effect")
         drainRecord = DrainRecord(revision, controllers)
         drained = controllers ?: drained
     }
--- a/src/main/kotlin/mintfield/core/CommitPlanner.kt
+++ b/src/main/kotlin/mintfield/core/CommitPlanner.kt
@@ -137,7 +137,10 @@
         }
     }
 
-    /** Handles a record that its user changed by cancelling [job]; the replica delivers the change. Unwritten plans were never sent and end here. */
+    /**
+     * Handles a conflict on the record of [job], which its user changed by cancelling the job. The replica delivers the change. The job's
+     * unwritten plans, which were never sent to workers, end here.
+     */
     private fun conflicted(
         job: Job,
         guardedRevision: Long?,
--- a/src/main/kotlin/mintfield/core/constants/LeadershipConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/LeadershipConstants.kt
@@ -20,7 +20,7 @@
     /** Time for which a watch of the leader key stays open. */
     const val LEADER_WATCH_MS = 20_000L
 
-    /** Size of the range of attempt numbers of a term, which starts at the term multiplied by it. No term has as many rounds. */
+    /** Size of the range of attempt numbers of a term. The range starts at the term multiplied by this size. No term has as many rounds. */
     const val ATTEMPTS_PER_TERM = 65_536L
 
     /** Minimum time between two raises of the term. Each costs a write and a heartbeat from every worker. */
@@ -32,7 +32,7 @@
     /** Interval between checks whether a leader is known. */
     const val LEADER_KNOWN_CHECK_MS = 20L
 
-    /** Time after startup from which a controller runs compiled code, so that a replay need not wait for lease renewals. */
+    /** Time after startup from which a replay is not delayed: the code is compiled by then, so a replay leaves enough CPU for lease renewals. */
     const val WARMED_UP_MS = 30_000L
 
     /** Time without a first heartbeat from any worker after which a leader that has just started begins its replay. */
--- a/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
+++ b/src/main/kotlin/mintfield/core/constants/WorkerConstants.kt
@@ -41,7 +41,7 @@
     /** Interval between probes of an unreachable machine. */
     const val UNREACHABLE_PROBE_MS = 4_000L
 
-    /** Time without new tasks after a machine has become reachable again. It doubles each time that the machine was unreachable. */
+    /** Time without new tasks after a machine has become reachable again. It doubles with each period in which the machine was unreachable. */
     const val REACHABLE_BACKOFF_MS = 2_000L
 
     /** Maximum number of times that [REACHABLE_BACKOFF_MS] is doubled. */
--- a/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/HeartbeatCodec.kt
@@ -57,7 +57,7 @@
     /** Decodes [bytes]; null if they are not a JSON object or lack the machine, the incarnation or the sequence. */
     fun decode(bytes: ByteArray): Heartbeat? = decode(bytes, null)
 
-    /** Decodes [bytes] as the public function does, but does not parse a task list that is in [cache]. */
+    /** Decodes [bytes]; null if they are invalid. A task list that is in [cache] is not parsed again. */
     internal fun decode(
         bytes: ByteArray,
         cache: TaskListCache?,
--- a/src/test/kotlin/mintfield/core/jobs/LeaderCutFromWorkersTest.kt
+++ b/src/test/kotlin/mintfield/core/jobs/LeaderCutFromWorkersTest.kt
@@ -63,7 +63,7 @@
 
     @Test
     fun `no zone is fenced if no zone sends heartbeats`() {
-        // Guards against delaying each heartbeat relayed by a peer until a transaction, after a third of the worker's lease has elapsed.
+        // Guards against fencing all zones: each relayed heartbeat would wait for a transaction, after a third of the worker's lease has elapsed.
         assertEquals(0, scheduler().zoneFences(emptySet()))
         val south = (1..23 step 2).map { "m-%03d".format(it) }.toSet()
         assertEquals(12, scheduler().zoneFences(south), "one zone without heartbeats while another sends them: a partition of that zone")
