--- a/src/main/kotlin/mintfield/core/model/Settings.kt
+++ b/src/main/kotlin/mintfield/core/model/Settings.kt
@@ -37,7 +37,7 @@
     val cloudRps: Double,
     /** Seconds by which the cloud's list of machines may be out of date. */
     val listLagS: Double,
-    /** Maximum of open sockets of this controller. */
+    /** Maximum number of open sockets of this controller. */
     val maxSockets: Int,
     val operator: OperatorSettings = OperatorSettings(),
     /** Limits of the store that will replace the initial ones at an unannounced time; null if no change is planned. */
--- a/src/main/kotlin/mintfield/core/model/StateLimits.kt
+++ b/src/main/kotlin/mintfield/core/model/StateLimits.kt
@@ -2,11 +2,11 @@
 
 /** The limits of the store that depend on the settings. */
 data class StateLimits(
-    /** Maximum of puts and deletes per second, of all controllers together. */
+    /** Maximum number of puts and deletes per second, of all controllers together. */
     val writeRps: Double,
     /** The largest value, in KiB. */
     val valueKb: Double,
-    /** Maximum of puts and deletes in a transaction. */
+    /** Maximum number of puts and deletes in a transaction. */
     val txnOps: Int,
 ) {
     /** The largest value, in bytes. */
