--- a/src/main/kotlin/mintfield/app/leader/Replay.kt
+++ b/src/main/kotlin/mintfield/app/leader/Replay.kt
@@ -154,7 +154,7 @@
         val record =
             RoundCodec.decode(entry.data) { (job) ->
                 keep = true
-                Log.error("${entry.key}: cannot decode round of revision ${entry.revision} for ${job ?: "an unknown job"}; record kept, readable parts replayed")
+                Log.error("${entry.key}: cannot decode round of revision ${entry.revision} for ${job ?: "an unknown job"}; record kept, rest replayed")
                 if (job == null) scheduler.replay.unreadableRound(nowMs) else scheduler.replay.unreadableJob(job)
             }
         scheduler.replay.round(entry.key.removePrefix(keys.rounds), record, entry.revision, nowMs, keep)
