--- a/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
+++ b/src/main/kotlin/mintfield/core/fleet/HeartbeatRecord.kt
@@ -5,7 +5,7 @@
 
 /**
  * State derived from the heartbeats of one machine. Heartbeats are ordered by the worker's incarnation and then by their sequence number
- * within it, so that a late copy is not taken for a newer one. Times are in milliseconds of monotonic time.
+ * within it, so that a late copy is not mistaken for a newer one. Times are in milliseconds of monotonic time.
  */
 class HeartbeatRecord {
     /** The worker's incarnation; 0 before its first heartbeat. */
--- a/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
+++ b/src/main/kotlin/mintfield/core/jobs/JobReplica.kt
@@ -67,7 +67,7 @@
 
     /**
      * Applies [changes], which must be all changes of the store up to revision [upTo] that follow some revision not above [revision].
-     * They are applied in the order of their revisions, whatever their order in the list.
+     * They are applied in the order of their revisions, regardless of their order in the list.
      */
     fun apply(
         changes: List<JobChange>,
--- a/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
+++ b/src/main/kotlin/mintfield/core/jobs/TaskProgress.kt
@@ -92,7 +92,7 @@
         for (index in tasksOf(chunk)) if (isCoveredByRecords(index)) unwritten.add(index)
     }
 
-    /** Number of tasks of [chunk] that records must cover; a task covered by no record is taken to be waiting. */
+    /** Number of tasks of [chunk] that records must cover; a task covered by no record is assumed to be waiting. */
     fun coveredCount(chunk: Int): Int = tasksOf(chunk).count { isCoveredByRecords(it) }
 
     private fun tasksOf(chunk: Int): IntRange = chunk * TaskChunks.TASKS_PER_CHUNK until minOf(taskCount, (chunk + 1) * TaskChunks.TASKS_PER_CHUNK)
--- a/src/main/kotlin/mintfield/core/ownership/PeerLiveness.kt
+++ b/src/main/kotlin/mintfield/core/ownership/PeerLiveness.kt
@@ -5,6 +5,6 @@
     /** The names of all peers. */
     val names: Collection<String>
 
-    /** Whether [peer] has sent a message lately, and reported that the store serves it. */
+    /** Whether [peer] has sent a message recently, and reported that the store serves it. */
     fun isUpAndServed(peer: String): Boolean
 }
--- a/src/main/kotlin/mintfield/io/store/Decoded.kt
+++ b/src/main/kotlin/mintfield/io/store/Decoded.kt
@@ -12,7 +12,7 @@
         override val valueOrNull: T get() = value
     }
 
-    /** The record is invalid: [field] is the stored name of the first invalid field, [problem] states what is wrong with it. */
+    /** The record is invalid: [field] is the stored name of the first invalid field, [problem] describes the fault. */
     data class Invalid(
         val field: String,
         val problem: String,
--- a/src/main/kotlin/mintfield/io/worker/JobCodec.kt
+++ b/src/main/kotlin/mintfield/io/worker/JobCodec.kt
@@ -17,7 +17,7 @@
 
         /** Not a valid specification. The [reason] names the invalid field. */
         data class Invalid(
-            /** The job's id; null if it is invalid too. With it, a job that is already known is recognized whatever else is wrong. */
+            /** The job's id; null if it is invalid too. With it, a job that is already known is recognized even if other fields are invalid. */
             val id: String?,
             val reason: String,
         ) : Parsed
