--- a/src/test/kotlin/mintfield/app/sharding/ShardedServiceTest.kt
+++ b/src/test/kotlin/mintfield/app/sharding/ShardedServiceTest.kt
@@ -231,6 +231,8 @@
     @Test
     fun `the command shows owners, and refuses invalid requests with a reason`() {
         start(machines = 3, taskMs = 3_000)
+        // A controller that starts much later than the others leads its shard only once it has been up for a while.
+        await("every home leads its shard") { shards.all { leaderAt(LeaderKeys(it.name)) == it.home } }
         assertEquals(0 to "s0: 1 machines, led by plot-0\ns1: 1 machines, led by plot-1\ns2: 1 machines, led by plot-2", command("show"))
         assertEquals(0 to machineName(1), command("show", "s1"))
         assertEquals(1 to "refused: unknown share", command("show", "s9"))
